--- a/pkg/placement/cold.go
+++ b/pkg/placement/cold.go
@@ -6,79 +6,88 @@
 	"github.com/lavenderring/lavenderring/pkg/coldlimit"
 )
 
-// ColdLimit is this instance's part of what all together send to a cold upstream.
+// ColdLimit enforces this instance's share of the requests that all instances together
+// may send to a cold upstream.
 type ColdLimit interface {
-	// Allows reports whether one more request may be sent to it now, Sent counts it.
+	// Allows reports whether one more request may be sent to the upstream now.
+	// Sent counts a request as sent.
 	Allows(upstream string, bound coldlimit.Bound) bool
 	Sent(upstream string)
 }
 
-// Cold is how the upstreams of a service are to be treated that may have just started.
+// ColdPolicy limits the requests to upstreams of a service that have, or may have, just started.
 type Cold struct {
 	Limit ColdLimit
 	Bound coldlimit.Bound
-	// For is how long an upstream is cold.
+	// Duration is how long an upstream counts as cold after its start.
 	For time.Duration
 }
 
-// bounded reports that cold upstreams take a limited number of requests.
-func (c *Cold) bounded() bool { return c.Limit != nil && c.Bound.Most() > 0 }
+// limitsRequests reports whether requests to cold upstreams are limited.
+func (c *Cold) limitsRequests() bool { return c.Limit != nil && c.Bound.Most() > 0 }
 
-// SetCold sets how cold upstreams are treated.
-func (p *Pool) SetCold(cold Cold) {
+// SetColdPolicy sets the limit on requests to cold upstreams.
+func (p *Pool) SetCold(policy Cold) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cold = cold
+	p.coldPolicy = policy
 }
 
-// isCold reports that an upstream has, or may have, just started.
-func (s *state) isCold(now time.Time) bool {
-	return now.Before(s.slowUntil) || now.Before(s.assumedColdUntil)
+// isCold reports whether the upstream has, or may have, just started.
+func (s *upstreamState) isCold(now time.Time) bool {
+	return now.Before(s.coldUntil) || now.Before(s.assumedColdUntil)
 }
 
-// mayTake reports whether an upstream may get one more request for all that is known of its start.
-func (p *Pool) mayTake(s *state, now time.Time) bool {
-	return !p.cold.bounded() || !s.isCold(now) || p.cold.Limit.Allows(s.ID, p.cold.Bound)
+// withinColdLimit reports whether the upstream may be sent one more request: it is not cold,
+// or the limit on cold upstreams allows it.
+func (p *Pool) withinColdLimit(s *upstreamState, now time.Time) bool {
+	return !p.coldPolicy.limitsRequests() || !s.isCold(now) || p.coldPolicy.Limit.Allows(s.ID, p.coldPolicy.Bound)
 }
 
-// assumeCold notes that an upstream may have started anew without a word: it takes what a cold one takes.
-func (p *Pool) assumeCold(s *state, now time.Time) { s.assumedColdUntil = now.Add(p.cold.For) }
+// assumeCold treats the upstream as cold because it may have restarted without a change of its
+// registry entry.
+func (p *Pool) assumeCold(s *upstreamState, now time.Time) {
+	s.assumedColdUntil = now.Add(p.coldPolicy.For)
+}
 
-// noteReturned takes the upstreams for cold that are in service again after they were not: what has taken them
-// out may have restarted them. All are new to an instance that starts, which takes their entries' word.
-func (p *Pool) noteReturned(before []*state, now time.Time) {
+// assumeReturnedCold treats upstreams as cold that are in service now but are not in before: whatever
+// took them out of service may have restarted them. An instance that starts has seen no upstream before
+// and relies on their registry entries instead.
+func (p *Pool) assumeReturnedCold(before []*upstreamState, now time.Time) {
 	if len(before) == 0 {
 		return
 	}
-	listed := map[*state]bool{}
+	wasInService := map[*upstreamState]bool{}
 	for _, s := range before {
-		listed[s] = true
+		wasInService[s] = true
 	}
-	for _, s := range p.list {
-		if !listed[s] {
+	for _, s := range p.upstreams {
+		if !wasInService[s] {
 			p.assumeCold(s, now)
 		}
 	}
 }
 
-// Unreachable notes that no connection to the upstream could be made: when one can be made again it may
-// be because the upstream has started anew.
+// ReportUnreachable records that connecting to the upstream failed. When it can be reached again,
+// it may have restarted, so it counts as cold.
 func (l *Place) Unreachable() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	l.pool.assumeCold(l.state, l.pool.now())
 }
 
-// admit counts a request to an upstream that is cold.
-func (p *Pool) admit(s *state, now time.Time) (admitted bool) {
-	if !p.cold.bounded() || !s.isCold(now) {
+// countColdRequest counts a request against the limit of the upstream if that is cold and limited, and
+// reports whether it did.
+func (p *Pool) countColdRequest(s *upstreamState, now time.Time) (counted bool) {
+	if !p.coldPolicy.limitsRequests() || !s.isCold(now) {
 		return false
 	}
-	p.cold.Limit.Sent(s.ID)
+	p.coldPolicy.Limit.Sent(s.ID)
 	return true
 }
 
-// mayBeSent reports that the place was admitted at a cold upstream, or that its upstream is not cold.
-func (l *Place) mayBeSent() bool {
-	return l.admitted || !l.pool.cold.bounded() || !l.state.isCold(l.pool.now())
+// withinColdLimit reports whether the request may be sent: it was counted against the limit of a cold
+// upstream, or its upstream is not cold.
+func (l *Place) withinColdLimit() bool {
+	return l.countedAsCold || !l.pool.coldPolicy.limitsRequests() || !l.state.isCold(l.pool.now())
 }
--- a/pkg/placement/cold_test.go
+++ b/pkg/placement/cold_test.go
@@ -9,101 +9,103 @@
 )
 
 // coldFor is how long an upstream is cold in these tests.
-const coldFor = 3 * time.Second
+const coldDuration = 3 * time.Second
 
-// coldPool is a pool of an instance that is alone, so that it may send as much as the fleet's sides
-// may each, seven requests in a second, to a cold upstream.
+// coldPool returns the pool of an instance that knows no other instance. It may send a cold upstream
+// what each side of a partitioned fleet may send: seven requests in a second.
 func coldPool(t *testing.T) (*Pool, *time.Time) {
 	t.Helper()
 	now := time.Unix(1_000_000, 0)
 	clock := func() time.Time { return now }
 	p := NewPool("x", clock)
 	limit := coldlimit.New("self", func() []string { return nil }, clock)
-	p.SetCold(Cold{Limit: limit, Bound: coldlimit.Bound{PerSecond: 12, Overage: 1.5, Slack: 5}, For: coldFor})
+	p.SetCold(Cold{Limit: limit, Bound: coldlimit.Bound{PerSecond: 12, Overage: 1.5, Slack: 5}, For: coldDuration})
 	now = now.Add(time.Minute)
 	return p, &now
 }
 
-// chosen counts the places that a burst of requests gets by upstream; each ends at once.
-func chosen(p *Pool, requests int) map[string]int {
-	places := map[string]int{}
+// placementsByUpstream places a burst of requests, each of which ends at once, and counts them by
+// upstream.
+func placementsByUpstream(p *Pool, requests int) map[string]int {
+	counts := map[string]int{}
 	for range requests {
-		if place := p.Choose(&Want{PromptTokens: 100}); place != nil {
-			places[place.ID]++
-			place.Done(Succeeded)
+		if lease := p.Choose(&Want{PromptTokens: 100}); lease != nil {
+			counts[lease.ID]++
+			lease.Done(Succeeded)
 		}
 	}
-	return places
+	return counts
 }
 
 func warm(id string) registry.Upstream { return registry.Upstream{ID: id, Domain: "x"} }
 
 func cold(id string) registry.Upstream {
-	return registry.Upstream{ID: id, Domain: "x", SlowFor: coldFor}
+	return registry.Upstream{ID: id, Domain: "x", SlowFor: coldDuration}
 }
 
-// Guards against a crowd that goes to an upstream which has just started and crashes under it, also
-// where no other is in service.
+// Guards against so many requests to an upstream that has just started that it crashes, also when
+// no other upstream is in service.
 func TestColdUpstreamGetsWhatItTakes(t *testing.T) {
 	p, now := coldPool(t)
 	p.Update([]registry.Upstream{cold("cold"), warm("warm")}, true)
-	if got := chosen(p, 200); got["cold"] > 7 || got["warm"] < 190 {
+	if got := placementsByUpstream(p, 200); got["cold"] > 7 || got["warm"] < 190 {
 		t.Errorf("got %v", got)
 	}
 	*now = now.Add(2 * time.Second)
 	p.Update([]registry.Upstream{cold("cold")}, true)
-	if got := chosen(p, 200); got["cold"] == 0 || got["cold"] > 7 {
-		t.Errorf("where it is alone: %v", got)
+	if got := placementsByUpstream(p, 200); got["cold"] == 0 || got["cold"] > 7 {
+		t.Errorf("with no other upstream: got %v", got)
 	}
 }
 
-// Guards against a crowd at upstreams that were restarted while they were out of service and whose
-// entries do not say so yet.
+// Guards against too many requests to upstreams that were restarted while they were out of service
+// and whose registry entries do not show it yet.
 func TestReturnedUpstreamIsTakenForCold(t *testing.T) {
 	p, now := coldPool(t)
 	p.Update([]registry.Upstream{warm("a"), warm("b")}, true)
 	p.Update([]registry.Upstream{warm("a")}, true)
 	p.Update([]registry.Upstream{warm("a"), warm("b")}, true)
-	if got := chosen(p, 200); got["b"] > 7 {
+	if got := placementsByUpstream(p, 200); got["b"] > 7 {
 		t.Errorf("got %v", got)
 	}
-	*now = now.Add(coldFor)
-	if got := chosen(p, 200); got["b"] < 50 {
-		t.Errorf("after its cold time: %v", got)
+	*now = now.Add(coldDuration)
+	if got := placementsByUpstream(p, 200); got["b"] < 50 {
+		t.Errorf("after the cold period: got %v", got)
 	}
 }
 
-// Guards against a crowd at an upstream that was dark and started anew without a word.
+// Guards against too many requests to an upstream that was unreachable and restarted without a
+// change of its registry entry.
 func TestUnreachableUpstreamIsTakenForCold(t *testing.T) {
 	p, _ := coldPool(t)
 	p.Update([]registry.Upstream{warm("a")}, true)
-	place := p.Choose(&Want{PromptTokens: 100})
-	place.Unreachable()
-	place.Done(Failed)
-	if got := chosen(p, 200); got["a"] > 7 {
+	lease := p.Choose(&Want{PromptTokens: 100})
+	lease.Unreachable()
+	lease.Done(Failed)
+	if got := placementsByUpstream(p, 200); got["a"] > 7 {
 		t.Errorf("got %v", got)
 	}
 }
 
-// Guards against a request that goes out to an upstream which became cold after the choice.
+// Guards against sending a request to an upstream that became cold after it was chosen.
 func TestUpstreamThatTurnsColdAfterTheChoiceGetsNothing(t *testing.T) {
 	p, _ := coldPool(t)
 	p.Update([]registry.Upstream{warm("a")}, true)
-	place := p.Choose(&Want{PromptTokens: 100})
+	lease := p.Choose(&Want{PromptTokens: 100})
 	p.Update([]registry.Upstream{cold("a")}, true)
-	if place.InService() {
-		t.Error("it is sent")
+	if lease.InService() {
+		t.Error("a request chosen before the upstream became cold is sent")
 	}
-	if admitted := p.Choose(&Want{PromptTokens: 100}); !admitted.InService() {
-		t.Error("one that was admitted is not sent")
+	if counted := p.Choose(&Want{PromptTokens: 100}); !counted.InService() {
+		t.Error("a request counted against the cold limit is not sent")
 	}
 }
 
-// Guards against an instance that starts and takes every upstream for cold.
+// Guards against an instance that treats every upstream as cold when it starts.
 func TestFirstListIsTakenAtItsWord(t *testing.T) {
 	p, _ := coldPool(t)
 	p.Update([]registry.Upstream{warm("a")}, true)
-	if got := chosen(p, 200); got["a"] != 200 {
+	if got := placementsByUpstream(p, 200); got["a"] != 200 {
 		t.Errorf("got %v", got)
 	}
 }
--- a/pkg/placement/longprompt.go
+++ b/pkg/placement/longprompt.go
@@ -6,162 +6,169 @@
 	"time"
 )
 
-// A prompt is read in chunks between the tokens of the streams that run at its engine, and
-// the further into a long prompt, the longer a chunk takes. From some 25,000 tokens on, the
-// steps of one event of those streams add up to more than the pause that their clients
-// allow: on a calm day of 12 engines, 30 such prompts made 227 of 2,598 streams late. So
-// the longest prompts go to a few engines of their own, and other requests keep away from
-// these. Every stream is late once at most, so long prompts that meet at one engine cost
-// less than long prompts that are spread.
+// An engine prefills a prompt in chunks, one in each decoding step of the streams that it
+// runs, and a chunk takes longer the further it is into the prompt. From about 25,000 tokens
+// on, the steps of one event of those streams add up to more than the pause that their
+// clients allow: under low load on 12 engines, 30 such prompts made 227 of 2,598 streams
+// late. So the longest prompts are sent to a few dedicated engines, which other requests
+// avoid. A stream counts as late at most once, so several long prompts at one engine cost
+// less than the same prompts spread over several.
 //
-// Measured with 12 engines, four seeds each, no processor time charged: served worth 0.673 to
-// 0.707 and 0.728 to 0.782 on two days of high load, 0.801 to 0.837 on a calm one. The
-// largest tenth of the summaries is served a little worse (the worst-served tenth takes some
-// of the gain back).
+// In simulations with 12 engines and four seeds each, without a charge for processor time,
+// dedicated engines raised the value of the served requests from 0.673 to 0.707 and from
+// 0.728 to 0.782 on two days of high load, and from 0.801 to 0.837 on one of low load. The
+// largest tenth of the summaries is served slightly worse, which offsets part of the gain.
 
 const (
-	// longSteps is how many of the steps that streams are allowed the reading of a prompt
-	// takes, from which on it counts as long. A step may take the allowed pause divided by
-	// the tokens in an event; chunks get slower along a prompt, and from about this many on
-	// the later ones take longer than that. With 64 tokens read in a millisecond, events of
-	// five tokens and pauses of 300 ms these are prompts of 23,000 tokens. Thresholds of
-	// 20,000, 26,000 and 33,000 were played; measured against the time to the first event
-	// instead, all prompts of a deployment with shorter objectives counted as long, and its
-	// score fell from 0.95 to 0.57.
-	longSteps = 9
-	// mostApart is the part of the engines, as a divisor, that long prompts may have.
-	mostApart = 3
-	// apartMargin times their part of the reading is the part of the engines that long
-	// prompts have: few large ones meet more often than many small ones.
-	apartMargin = 1.5
-	// apartCost keeps long prompts and others apart, in prompt tokens: either goes to the
-	// other's engines only where its own have one of the longest prompts more before it.
-	apartCost = 30000
-	// mixMemory is how many requests the share of long prompts is averaged over.
-	mixMemory = 500
-	// leastAnswers is how many answers the rate must rest on before any prompt counts as
-	// long, mostAnswers the most that count of one instance.
-	leastAnswers = 20
-	mostAnswers  = 200
-	// heardFor is how long what another instance has learned counts.
-	heardFor = time.Minute
+	// longPromptSteps is the prefill time from which on a prompt counts as long, in decoding
+	// steps of the greatest duration that streams allow: their allowed pause divided by the
+	// tokens in an event. Chunks get slower along a prompt, and from about this many steps on
+	// the later chunks exceed that duration. With 64 tokens prefilled in a millisecond, events
+	// of five tokens and pauses of 300 ms, this means prompts of 23,000 tokens; thresholds of
+	// 20,000, 26,000 and 33,000 tokens were simulated too. A threshold relative to the
+	// objective for the first event does not work: all prompts of a deployment with shorter
+	// objectives counted as long, and its score fell from 0.95 to 0.57.
+	longPromptSteps = 9
+	// maxDedicatedDivisor bounds the engines dedicated to long prompts: all engines divided by
+	// it.
+	maxDedicatedDivisor = 3
+	// dedicatedMargin is the ratio of the share of engines dedicated to long prompts to the
+	// share of prefill work that these cause. It exceeds 1 because a few large prompts collide
+	// at an engine more often than many small ones.
+	dedicatedMargin = 1.5
+	// outsideGroupCost is the cost, in prompt tokens, of an engine of the other group (dedicated
+	// to long prompts, or not). A request goes there only if the engines of its own group have
+	// one more of the longest prompts queued before it.
+	outsideGroupCost = 30000
+	// longShareWindow is the number of requests over which the share of long prompts is
+	// averaged exponentially.
+	longShareWindow = 500
+	// minAnswers is the number of answers that the prefill rate must be based on before any
+	// prompt counts as long; maxAnswersPerInstance caps the weight of one instance's answers.
+	minAnswers            = 20
+	maxAnswersPerInstance = 200
+	// peerStatsTTL is how long the statistics of another instance are used.
+	peerStatsTTL = time.Minute
 )
 
-// Reading is what an instance has learned of how a service's engines read prompts, and of
-// the prompts that it has sent lately. Instances tell each other, so that all of them divide
-// requests and engines alike: left alone, those with few requests took ten seconds to learn
-// and sent the same sessions elsewhere than the others did, and more was read again than
-// was gained.
+// PrefillStats are an instance's statistics of how fast a service's engines prefill prompts,
+// and of the prompts that it has sent lately. Instances exchange them so that all divide
+// requests and engines in the same way. Without the exchange, instances with few requests
+// took ten seconds to learn the rate and sent the same sessions to other engines than the
+// rest did, which caused more repeated prefill than the dedicated engines saved.
 type Reading struct {
-	// TokensPerSecond is the rate, learned from so many Answers.
+	// TokensPerSecond is the prefill rate, estimated from Answers answers.
 	TokensPerSecond float64
 	Answers         int64
-	// All and Long are the tokens of all prompts and of long ones, fading.
+	// TotalTokens and LongTokens are exponentially decayed sums over all prompts and over the
+	// long ones: of their tokens, weighted up for long prompts.
 	All, Long float64
 }
 
-// heardReading is another instance's.
-type heardReading struct {
+// peerStats are the statistics received from another instance.
+type peerStats struct {
 	Reading
-	at time.Time
+	receivedAt time.Time
 }
 
-// readings joins what this instance has learned with what others have.
-type readings struct {
-	rate      readingRate
-	all, long float64
-	heard     map[string]heardReading
-	// Sums over the others: of answers and of rates weighted by them, and of tokens.
-	answers, weighted     float64
-	othersAll, othersLong float64
+// prefillEstimate combines this instance's statistics with those of its peers.
+type prefillEstimate struct {
+	rate              prefillRate
+	ownTotal, ownLong float64
+	peers             map[string]peerStats
+	// Sums over the peers: answers, rates weighted by answers, and tokens.
+	peerAnswers, peerWeightedRate float64
+	peerTotal, peerLong           float64
 }
 
-// add notes a prompt that is sent.
-func (r *readings) add(tokens int64, long bool, most float64) {
-	const fade = 1 - 1.0/mixMemory
-	work := float64(tokens)
-	if most > 0 {
-		work *= 1 + work/(2*most) // the later tokens take longer than the first
+// addPrompt records a prompt that is sent to an engine.
+func (r *prefillEstimate) addPrompt(tokens int64, long bool, longThreshold float64) {
+	const fade = 1 - 1.0/longShareWindow
+	cost := float64(tokens)
+	if longThreshold > 0 {
+		cost *= 1 + cost/(2*longThreshold) // later tokens take longer than the first ones
 	}
-	r.all = r.all*fade + work
-	r.long *= fade
+	r.ownTotal = r.ownTotal*fade + cost
+	r.ownLong *= fade
 	if long {
-		r.long += work
+		r.ownLong += cost
 	}
 }
 
-// learn takes in what another instance has learned.
-func (r *readings) learn(from string, reading Reading, now time.Time) {
-	if r.heard == nil {
-		r.heard = map[string]heardReading{}
+// recordPeer stores the statistics of another instance and recomputes the sums over all peers.
+func (r *prefillEstimate) recordPeer(peer string, stats Reading, now time.Time) {
+	if r.peers == nil {
+		r.peers = map[string]peerStats{}
 	}
-	r.heard[from] = heardReading{Reading: reading, at: now}
-	r.answers, r.weighted, r.othersAll, r.othersLong = 0, 0, 0, 0
-	for name, other := range r.heard {
-		if now.Sub(other.at) > heardFor {
-			delete(r.heard, name)
+	r.peers[peer] = peerStats{Reading: stats, receivedAt: now}
+	r.peerAnswers, r.peerWeightedRate, r.peerTotal, r.peerLong = 0, 0, 0, 0
+	for name, other := range r.peers {
+		if now.Sub(other.receivedAt) > peerStatsTTL {
+			delete(r.peers, name)
 			continue
 		}
-		weight := float64(min(other.Answers, mostAnswers))
-		r.answers += weight
-		r.weighted += weight * other.TokensPerSecond
-		r.othersAll += other.All
-		r.othersLong += other.Long
+		weight := float64(min(other.Answers, maxAnswersPerInstance))
+		r.peerAnswers += weight
+		r.peerWeightedRate += weight * other.TokensPerSecond
+		r.peerTotal += other.All
+		r.peerLong += other.Long
 	}
 }
 
-// perSecond is the rate that all together have learned; 0 if it rests on too few answers.
-func (r *readings) perSecond() float64 {
-	own := float64(min(r.rate.answers, mostAnswers))
-	if own+r.answers < leastAnswers {
+// tokensPerSecond returns the prefill rate estimated from the answers of all instances, or 0 if
+// there are fewer than minAnswers.
+func (r *prefillEstimate) tokensPerSecond() float64 {
+	ownAnswers := float64(min(r.rate.answers, maxAnswersPerInstance))
+	if ownAnswers+r.peerAnswers < minAnswers {
 		return 0
 	}
-	return (own*r.rate.perSecond + r.weighted) / (own + r.answers)
+	return (ownAnswers*r.rate.tokensPerSecond + r.peerWeightedRate) / (ownAnswers + r.peerAnswers)
 }
 
-// apart is how many of so many engines long prompts have: as large a part as they have of
-// all reading, so that both parts are about equally busy.
-func (r *readings) apart(engines int) int {
-	all := r.all + r.othersAll
-	if all <= 0 || r.perSecond() == 0 {
+// numDedicated returns how many of the engines are dedicated to long prompts: in proportion to
+// their share of the prefill work, so that both groups are about equally busy.
+func (r *prefillEstimate) numDedicated(numEngines int) int {
+	total := r.ownTotal + r.peerTotal
+	if total <= 0 || r.tokensPerSecond() == 0 {
 		return 0
 	}
-	share := (r.long + r.othersLong) / all
-	return min(int(math.Round(apartMargin*float64(engines)*share)), engines/mostApart)
+	share := (r.ownLong + r.peerLong) / total
+	return min(int(math.Round(dedicatedMargin*float64(numEngines)*share)), numEngines/maxDedicatedDivisor)
 }
 
-// Reading returns what this instance has learned, to be told to others.
+// PrefillStats returns this instance's own statistics, to be sent to its peers.
 func (p *Pool) Reading() Reading {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := &p.readings
-	return Reading{TokensPerSecond: r.rate.perSecond, Answers: r.rate.answers, All: r.all, Long: r.long}
+	r := &p.prefill
+	return Reading{TokensPerSecond: r.rate.tokensPerSecond, Answers: r.rate.answers, All: r.ownTotal, Long: r.ownLong}
 }
 
-// Learn takes in what the instance named has learned.
-func (p *Pool) Learn(from string, reading Reading) {
+// RecordPeerStats stores the statistics received from the named instance.
+func (p *Pool) Learn(peer string, stats Reading) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.readings.learn(from, reading, p.now())
+	p.prefill.recordPeer(peer, stats, p.now())
 }
 
-// longest returns the size from which on a prompt holds other streams up; 0 while that is not
-// known.
-func (p *Pool) longest(want *Want) float64 {
-	if want.TokensPerEvent <= 0 {
+// longPromptThreshold returns the size in tokens above which a prompt delays other streams
+// beyond their allowed pause, or 0 while that is unknown.
+func (p *Pool) longPromptThreshold(req *Want) float64 {
+	if req.TokensPerEvent <= 0 {
 		return 0
 	}
-	step := want.Pause.Seconds() / float64(want.TokensPerEvent)
-	return p.readings.perSecond() * longSteps * step
+	stepSeconds := req.Pause.Seconds() / float64(req.TokensPerEvent)
+	return p.prefill.tokensPerSecond() * longPromptSteps * stepSeconds
 }
 
-// rankEngines puts the engines in the order in which they are given to long prompts, on
-// which all instances agree without talk. Instances that see different mixes disagree on
-// how many there are, but not on which come first.
+// rankEngines sets the order in which engines are dedicated to long prompts. It depends on the
+// engines' ids alone, so all instances agree on it without communication: instances that see
+// different shares of long prompts differ in how many engines they dedicate, not in which come
+// first.
 func (p *Pool) rankEngines() {
-	ranked := slices.Clone(p.list)
-	slices.SortFunc(ranked, func(a, b *state) int {
-		switch x, y := mix(a.hash^rankKey), mix(b.hash^rankKey); {
+	ranked := slices.Clone(p.upstreams)
+	slices.SortFunc(ranked, func(a, b *upstreamState) int {
+		switch x, y := fmix64(a.hash^rankSalt), fmix64(b.hash^rankSalt); {
 		case x < y:
 			return -1
 		case x > y:
@@ -170,9 +177,9 @@
 		return 0
 	})
 	for rank, s := range ranked {
-		s.rank = rank
+		s.dedicationRank = rank
 	}
 }
 
-// rankKey makes the order independent of that of any session's homes.
-const rankKey = 0x9e3779b97f4a7c15
+// rankSalt makes the order independent of the rendezvous hashing of sessions.
+const rankSalt = 0x9e3779b97f4a7c15
--- a/pkg/placement/pool.go
+++ b/pkg/placement/pool.go
@@ -11,46 +11,49 @@
 	"github.com/lavenderring/lavenderring/pkg/registry"
 )
 
-// What things cost in the choice of an engine, in prompt tokens: the time an
-// engine takes to read one token is the unit.
+// Costs in the choice of an engine. The unit is the time that an engine takes to
+// prefill one prompt token.
 const (
-	// waitingCost is a waiting request: about one prompt before this one.
-	waitingCost = 4000
-	// runningCost is a running request, which makes each step a little longer.
-	runningCost = 120
-	// coldFactor multiplies the cost at an engine that has just started.
-	coldFactor = 1.5
-	// otherDomainCost prefers the own failure domain among equals: bytes between
-	// domains cost money, but less than a shared part read again.
+	// waitingRequestCost is the cost of a waiting request: about one prompt to prefill.
+	waitingRequestCost = 4000
+	// runningRequestCost is the cost of a running request, which makes each step slightly
+	// longer.
+	runningRequestCost = 120
+	// coldCostFactor multiplies the cost of an engine that has just started.
+	coldCostFactor = 1.5
+	// otherDomainCost is the cost of an engine in another failure domain. Traffic between
+	// domains costs money, but less than prefilling a shared part again.
 	otherDomainCost = 600
-	// cachedFor is how long a part is taken to stay in an engine's cache after
-	// this instance sent it there.
-	cachedFor = 8 * time.Second
-	// homeCredit is the share of the shared parts that an engine is taken to hold
-	// because all instances send that session there.
-	homeCredit = 0.9
+	// cacheTTL is how long a prompt part is assumed to stay in an engine's cache
+	// after this instance sent it there.
+	cacheTTL = 8 * time.Second
+	// homeCachedShare is the share of a session's shared parts that its home engine is
+	// assumed to hold in its cache because all instances send the session there.
+	homeCachedShare = 0.9
 )
 
-// Costs in the choice of a plain service's upstream, in requests waiting.
+// Costs in the choice of a plain service's upstream, in waiting requests.
 const (
-	// plainOtherDomainCost prefers the own failure domain while it has room.
+	// plainOtherDomainCost is the cost of an upstream in another failure domain. It is small
+	// enough to prefer the instance's own domain only while that has capacity.
 	plainOtherDomainCost = 0.3
-	// failingCost is added at an upstream whose every request fails.
-	failingCost = 20
+	// failureRateCost is the cost of an upstream at which every request fails; for engines
+	// it multiplies the cost.
+	failureRateCost = 20
 )
 
-// Want describes a request to be placed.
+// Request describes a request to be placed.
 type Want struct {
-	// Parts are the prompt's parts; the last belongs to the request alone. Empty
-	// for plain services.
+	// Parts are the parts of the prompt. The last one is specific to the request; other
+	// requests may share the rest. Parts is empty for plain services.
 	Parts []Part
-	// PromptTokens is the whole prompt.
+	// PromptTokens is the length of the whole prompt.
 	PromptTokens int64
-	// Pause is the longest pause between two events that its client allows, TokensPerEvent
-	// the tokens in one; 0 if they are not known.
+	// MaxPause is the longest pause between two events that the client allows, TokensPerEvent
+	// the number of tokens in an event. They are 0 if unknown.
 	Pause          time.Duration
 	TokensPerEvent int64
-	// Tried names incarnations to pass over.
+	// Tried lists the ids of the incarnations to exclude.
 	Tried []string
 }
 
@@ -60,9 +63,9 @@
 	Tokens int64
 }
 
-// session is the part that decides where requests of one conversation meet: the
-// last one that other requests share.
-func (w *Want) session() uint64 {
+// sessionID returns the id of the part by which requests of one conversation are sent to
+// the same engine: the last part that other requests share. It is 0 without parts.
+func (w *Want) sessionID() uint64 {
 	switch n := len(w.Parts); n {
 	case 0:
 		return 0
@@ -89,53 +92,53 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	engine bool
-	// readings is what is known of how the engines read prompts.
-	readings readings
-	states   map[string]*state
-	list     []*state
-	cold     Cold
+	// prefill estimates the engines' prefill rate and the share of long prompts.
+	prefill    prefillEstimate
+	states     map[string]*upstreamState
+	upstreams  []*upstreamState
+	coldPolicy Cold
 }
 
-// NewPool returns an empty pool for an instance in a failure domain.
+// NewPool returns an empty pool for an instance in the failure domain.
 func NewPool(domain string, now func() time.Time) *Pool {
 	return &Pool{
 		domain: domain,
 		now:    now,
 		rng:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		states: map[string]*state{},
+		states: map[string]*upstreamState{},
 	}
 }
 
-// Update takes over the upstreams in service; engine says that they cache prompts.
-func (p *Pool) Update(upstreams []registry.Upstream, engine bool) {
+// Update replaces the upstreams in service. The flag engine says whether they are model
+// engines, which cache prompts.
+func (p *Pool) Update(inService []registry.Upstream, engine bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.engine = engine
-	before := p.list
-	p.list = make([]*state, 0, len(upstreams))
+	before := p.upstreams
+	p.upstreams = make([]*upstreamState, 0, len(inService))
 	present := map[string]bool{}
-	for _, u := range upstreams {
+	for _, u := range inService {
 		s := p.states[u.ID]
 		if s == nil || s.Born != u.Born {
-			// One that starts again under its id has nothing cached, owes nothing for the
-			// failures before, and knows none of the requests in flight: their places
-			// keep the state of the incarnation that they are at.
-			s = &state{cached: map[uint64]time.Time{}, hash: xxhash.Sum64String(u.ID)}
+			// An upstream that restarted under the same id has an empty cache, no failures
+			// and no requests in flight. Leases of the earlier process keep its state.
+			s = &upstreamState{partSentAt: map[uint64]time.Time{}, hash: xxhash.Sum64String(u.ID)}
 			p.states[u.ID] = s
 		}
-		if s.SlowFor != u.SlowFor || s.slowUntil.IsZero() {
-			s.slowUntil = p.now().Add(u.SlowFor)
+		if s.SlowFor != u.SlowFor || s.coldUntil.IsZero() {
+			s.coldUntil = p.now().Add(u.SlowFor)
 		}
 		s.Upstream = u
 		present[u.ID] = true
-		p.list = append(p.list, s)
+		p.upstreams = append(p.upstreams, s)
 	}
 	for id, s := range p.states {
 		if !present[id] && s.inFlight == 0 {
 			delete(p.states, id)
 		}
 	}
-	p.noteReturned(before, p.now())
+	p.assumeReturnedCold(before, p.now())
 	p.rankEngines()
 }
 
@@ -143,122 +146,127 @@
 func (p *Pool) Size() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.list)
+	return len(p.upstreams)
 }
 
-// Place is a request's place at an upstream until Done.
+// Lease is a request's hold on an upstream until Done.
 type Place struct {
 	registry.Upstream
 	pool  *Pool
-	state *state
-	// Long says that the prompt is one of those that take long to read.
+	state *upstreamState
+	// Long reports whether the prompt counts as long, that is, slow to prefill.
 	Long bool
 
-	// admitted says that it was counted as one of the few that a cold upstream gets.
-	admitted bool
-	pending  int64
-	sentAt   time.Time
-	done     bool
+	// countedAsCold reports whether the request was counted against the limit of a cold
+	// upstream.
+	countedAsCold bool
+	pendingTokens int64
+	sentAt        time.Time
+	done          bool
 }
 
-// Choose returns a place at the upstream of least cost, or nil if there is none.
-func (p *Pool) Choose(want *Want) *Place {
+// Choose returns a lease on the upstream of the lowest cost, or nil if no upstream may be chosen.
+func (p *Pool) Choose(req *Want) *Place {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	choice := p.newChoice(want, now)
-	best := choice.pick(false)
+	c := p.newChoice(req, now)
+	best := c.pick(false)
 	if best == nil {
-		// All are avoided: one that may have recovered is better than none.
-		best = choice.pick(true)
+		// All upstreams are avoided: one that may have recovered is better than none.
+		best = c.pick(true)
 	}
 	if best == nil {
 		return nil
 	}
 	if p.engine {
-		p.readings.add(want.PromptTokens, choice.long, choice.most)
+		p.prefill.addPrompt(req.PromptTokens, c.long, c.longThreshold)
 	}
-	place := p.place(best, want, choice.home == best, now)
-	place.Long = choice.long
-	return place
+	lease := p.newLease(best, req, c.home == best, now)
+	lease.Long = c.long
+	return lease
 }
 
-// choice is one request's choice among the upstreams.
+// choice holds the parameters for the choice of one request's upstream.
 type choice struct {
 	*Pool
-	want *Want
-	now  time.Time
-	// long says that the request belongs to the engines for long prompts, of which there
-	// are so many.
-	long  bool
-	apart int
-	// most is the largest prompt that is not long; 0 while that is not known.
-	most float64
-	home *state
+	req *Want
+	now time.Time
+	// long reports whether the prompt counts as long; numDedicated is the number of engines
+	// dedicated to long prompts.
+	long         bool
+	numDedicated int
+	// longThreshold is the size in tokens of the largest prompt that is not long, or 0 while
+	// that is unknown.
+	longThreshold float64
+	home          *upstreamState
 }
 
-func (p *Pool) newChoice(want *Want, now time.Time) *choice {
-	c := &choice{Pool: p, want: want, now: now}
+func (p *Pool) newChoice(req *Want, now time.Time) *choice {
+	c := &choice{Pool: p, req: req, now: now}
 	if p.engine {
-		c.most = p.longest(want)
-		c.long = c.most > 0 && float64(want.PromptTokens) > c.most
-		c.apart = p.readings.apart(len(p.list))
-		c.home = c.findHome()
+		c.longThreshold = p.longPromptThreshold(req)
+		c.long = c.longThreshold > 0 && float64(req.PromptTokens) > c.longThreshold
+		c.numDedicated = p.prefill.numDedicated(len(p.upstreams))
+		c.home = c.homeEngine()
 	}
 	return c
 }
 
-// misplaced reports that an engine is not of the part that the request belongs to.
-func (c *choice) misplaced(s *state) bool { return c.apart > 0 && (s.rank < c.apart) != c.long }
+// outsideGroup reports whether the engine is not in the request's group: the engines dedicated
+// to long prompts for a long prompt, the others for any other.
+func (c *choice) outsideGroup(s *upstreamState) bool {
+	return c.numDedicated > 0 && (s.dedicationRank < c.numDedicated) != c.long
+}
 
-func (c *choice) pick(avoidedToo bool) *state {
-	p, want, now := c.Pool, c.want, c.now
-	var best *state
-	var least float64
-	if len(p.list) == 0 {
+func (c *choice) pick(includeAvoided bool) *upstreamState {
+	p, req, now := c.Pool, c.req, c.now
+	var best *upstreamState
+	var bestCost float64
+	if len(p.upstreams) == 0 {
 		return nil
 	}
-	start := p.rng.IntN(len(p.list))
-	for i := range p.list {
-		s := p.list[(start+i)%len(p.list)]
-		if slices.Contains(want.Tried, s.ID) || (!avoidedToo && s.avoided(now)) || !p.mayTake(s, now) {
+	start := p.rng.IntN(len(p.upstreams))
+	for i := range p.upstreams {
+		s := p.upstreams[(start+i)%len(p.upstreams)]
+		if slices.Contains(req.Tried, s.ID) || (!includeAvoided && s.avoided(now)) || !p.withinColdLimit(s, now) {
 			continue
 		}
-		cost := p.cost(s, want, s == c.home, now)
-		if c.misplaced(s) {
-			cost += apartCost
+		cost := p.cost(s, req, s == c.home, now)
+		if c.outsideGroup(s) {
+			cost += outsideGroupCost
 		}
-		if best == nil || cost < least {
-			best, least = s, cost
+		if best == nil || cost < bestCost {
+			best, bestCost = s, cost
 		}
 	}
 	return best
 }
 
-// findHome returns the engine where all instances send a session's requests: the winner
-// of rendezvous hashing over the engines of the request's part, on which instances agree
-// without talk.
-func (c *choice) findHome() *state {
-	session := c.want.session()
+// homeEngine returns the engine to which all instances send the session's requests, or nil if
+// the request has no session or its group no engine. It is chosen by rendezvous hashing over the
+// engines of the request's group, so instances agree on it without communication.
+func (c *choice) homeEngine() *upstreamState {
+	session := c.req.sessionID()
 	if session == 0 {
 		return nil
 	}
-	var best *state
-	var most uint64
-	for _, s := range c.list {
-		if c.misplaced(s) {
+	var best *upstreamState
+	var bestScore uint64
+	for _, s := range c.upstreams {
+		if c.outsideGroup(s) {
 			continue
 		}
-		score := mix(session ^ s.hash)
-		if best == nil || score > most {
-			best, most = s, score
+		score := fmix64(session ^ s.hash)
+		if best == nil || score > bestScore {
+			best, bestScore = s, score
 		}
 	}
 	return best
 }
 
-// mix is the finaliser of MurmurHash3; it spreads the bits of a key.
-func mix(key uint64) uint64 {
+// fmix64 is the finalizer of MurmurHash3.
+func fmix64(key uint64) uint64 {
 	key ^= key >> 33
 	key *= 0xff51afd7ed558ccd
 	key ^= key >> 33
@@ -266,117 +274,120 @@
 	return key ^ key>>33
 }
 
-func (p *Pool) cost(s *state, want *Want, home bool, now time.Time) float64 {
+func (p *Pool) cost(s *upstreamState, req *Want, home bool, now time.Time) float64 {
 	if !p.engine {
-		cost := s.load(now) + failingCost*s.failingNow(now)
+		cost := s.load(now) + failureRateCost*s.currentFailureRate(now)
 		if s.Domain != p.domain {
 			cost += plainOtherDomainCost
 		}
 		return cost
 	}
-	cost := float64(want.PromptTokens) - p.cachedTokens(s, want, home, now)
-	cost += float64(s.pending)
-	cost += runningCost * s.load(now)
+	cost := float64(req.PromptTokens) - p.cachedTokens(s, req, home, now)
+	cost += float64(s.pendingTokens)
+	cost += runningRequestCost * s.load(now)
 	if !s.reportedAt.IsZero() {
-		fresh := float64(loadHalfLife) / float64(loadHalfLife+now.Sub(s.reportedAt))
-		cost += waitingCost * float64(s.waiting) * fresh
+		weight := float64(loadHalfLife) / float64(loadHalfLife+now.Sub(s.reportedAt))
+		cost += waitingRequestCost * float64(s.waiting) * weight
 	}
 	if s.Domain != p.domain {
 		cost += otherDomainCost
 	}
-	if now.Before(s.slowUntil) {
-		cost *= coldFactor
+	if now.Before(s.coldUntil) {
+		cost *= coldCostFactor
 	}
-	return cost * (1 + failingCost*s.failingNow(now))
+	return cost * (1 + failureRateCost*s.currentFailureRate(now))
 }
 
-// cachedTokens estimates how much of the prompt an engine need not read again:
-// parts in order up to the first that it lacks.
-func (p *Pool) cachedTokens(s *state, want *Want, home bool, now time.Time) float64 {
-	var known int64
-	for i := 0; i < len(want.Parts)-1; i++ {
-		sent, ever := s.cached[want.Parts[i].ID]
-		if !ever || now.Sub(sent) > cachedFor {
+// cachedTokens estimates how many of the prompt's tokens the engine has in its cache: those of
+// the parts before the first one that is not cached.
+func (p *Pool) cachedTokens(s *upstreamState, req *Want, home bool, now time.Time) float64 {
+	var cached int64
+	for i := 0; i < len(req.Parts)-1; i++ {
+		sent, found := s.partSentAt[req.Parts[i].ID]
+		if !found || now.Sub(sent) > cacheTTL {
 			break
 		}
-		known += want.Parts[i].Tokens
+		cached += req.Parts[i].Tokens
 	}
 	if home {
-		return max(float64(known), homeCredit*float64(want.sharedTokens()))
+		return max(float64(cached), homeCachedShare*float64(req.sharedTokens()))
 	}
-	return float64(known)
+	return float64(cached)
 }
 
-func (p *Pool) place(s *state, want *Want, home bool, now time.Time) *Place {
+func (p *Pool) newLease(s *upstreamState, req *Want, home bool, now time.Time) *Place {
 	s.inFlight++
-	s.sinceReport++
-	pending := int64(0)
+	s.sentSinceReport++
+	pendingTokens := int64(0)
 	if p.engine {
-		pending = want.PromptTokens - int64(p.cachedTokens(s, want, home, now))
-		s.pending += pending
-		for i := 0; i < len(want.Parts)-1; i++ {
-			s.cached[want.Parts[i].ID] = now
+		pendingTokens = req.PromptTokens - int64(p.cachedTokens(s, req, home, now))
+		s.pendingTokens += pendingTokens
+		for i := 0; i < len(req.Parts)-1; i++ {
+			s.partSentAt[req.Parts[i].ID] = now
 		}
-		if len(s.cached) > maxCachedParts {
-			s.forgetOld(now)
+		if len(s.partSentAt) > maxCachedParts {
+			s.evictStaleParts(now)
 		}
 	}
-	admitted := p.admit(s, now)
-	return &Place{Upstream: s.Upstream, pool: p, state: s, pending: pending, sentAt: now, admitted: admitted}
+	admitted := p.countColdRequest(s, now)
+	return &Place{Upstream: s.Upstream, pool: p, state: s, pendingTokens: pendingTokens, sentAt: now, countedAsCold: admitted}
 }
 
-// maxCachedParts bounds the parts remembered of one engine before old ones go.
+// maxCachedParts is the number of parts recorded for one engine above which stale ones are
+// evicted.
 const maxCachedParts = 4096
 
-func (s *state) forgetOld(now time.Time) {
-	for id, sent := range s.cached {
-		if now.Sub(sent) > cachedFor {
-			delete(s.cached, id)
+func (s *upstreamState) evictStaleParts(now time.Time) {
+	for id, sent := range s.partSentAt {
+		if now.Sub(sent) > cacheTTL {
+			delete(s.partSentAt, id)
 		}
 	}
 }
 
-// InService reports that the upstream still takes this request: since the choice it may have said that
-// it leaves, have started again as another incarnation, or have become cold.
+// InService reports whether the upstream still accepts this request. Since it was chosen, it may have
+// announced that it leaves, restarted as another incarnation, or become cold.
 func (l *Place) InService() bool {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	return slices.Contains(l.pool.list, l.state) && l.mayBeSent()
+	return slices.Contains(l.pool.upstreams, l.state) && l.withinColdLimit()
 }
 
-// Report takes the load that came with an answer's head.
+// ReportLoad records the load that the upstream reported in the header of its answer.
 func (l *Place) Report(running, waiting int) {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	s := l.state
-	s.running, s.waiting, s.reportedAt, s.sinceReport = running, waiting, l.pool.now(), 0
+	s.running, s.waiting, s.reportedAt, s.sentSinceReport = running, waiting, l.pool.now(), 0
 }
 
-// Reading ends: the first event has come.
+// ReportFirstEvent records that the first event has arrived, which ends the prefill, and updates the
+// estimated prefill rate.
 func (l *Place) FirstEvent() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	if l.pending > 0 {
-		l.pool.readings.rate.observe(l.pending, l.pool.now().Sub(l.sentAt))
+	if l.pendingTokens > 0 {
+		l.pool.prefill.rate.observe(l.pendingTokens, l.pool.now().Sub(l.sentAt))
 	}
-	l.state.pending -= l.pending
-	l.pending = 0
+	l.state.pendingTokens -= l.pendingTokens
+	l.pendingTokens = 0
 }
 
-// Result is how a request at an upstream ended.
+// Result is the outcome of a request at an upstream.
 type Result int
 
 // The results.
 const (
-	// Succeeded requests count for the upstream.
+	// Succeeded counts as a success of the upstream.
 	Succeeded Result = iota
-	// Failed ones count against it.
+	// Failed counts as a failure of the upstream.
 	Failed
-	// Neutral ones say nothing of it: the client left, or it was full.
+	// Neutral says nothing about the upstream's health: the client disconnected, or the upstream
+	// was full.
 	Neutral
 )
 
-// Done gives the place back; only the first call counts.
+// Done releases the lease; only the first call has an effect.
 func (l *Place) Done(result Result) {
 	p := l.pool
 	p.mu.Lock()
@@ -387,11 +398,11 @@
 	l.done = true
 	s := l.state
 	s.inFlight--
-	s.pending -= l.pending
+	s.pendingTokens -= l.pendingTokens
 	switch result {
 	case Failed:
-		s.failed(p.now())
+		s.recordFailure(p.now())
 	case Succeeded:
-		s.succeeded(p.now())
+		s.recordSuccess(p.now())
 	}
 }
--- a/pkg/placement/upstream.go
+++ b/pkg/placement/upstream.go
@@ -1,6 +1,6 @@
-// Package placement chooses the upstream of a request: an engine by what its
-// cache holds of the prompt and by expected time to the first event, a plain
-// service's upstream by expected wait. It knows no sockets.
+// Package placement chooses the upstream of a request. It chooses a model engine
+// by the part of the prompt that its cache holds and the expected time to the first
+// event, and an upstream of a plain service by the expected wait. It does no I/O.
 package placement
 
 import (
@@ -10,102 +10,105 @@
 	"github.com/lavenderring/lavenderring/pkg/registry"
 )
 
-// How upstreams are judged.
+// Parameters of the load and failure estimates.
 const (
-	// loadHalfLife is the age at which a reported load counts half: services
-	// work in tens of milliseconds, so an older report says little.
+	// loadHalfLife is the age at which a reported load has half its weight. Services
+	// answer within tens of milliseconds, so older reports say little.
 	loadHalfLife = 300 * time.Millisecond
-	// smoothing is the weight of the newest sample in smoothed figures.
-	smoothing = 0.1
-	// failingHalfLife is the age at which a share of failures counts half, and
-	// leastFailing the share that is none.
-	failingHalfLife = 2 * time.Second
-	leastFailing    = 0.02
-	// failuresBeforeAvoiding is how many failures in a row make an upstream
-	// avoided; one can be the request's own fault.
-	failuresBeforeAvoiding = 2
-	// avoidFor is how long an avoided upstream gets nothing, after which one
-	// request tries it again.
-	avoidFor = time.Second
-	// avoidAtMost bounds the time, which doubles with each further failure.
-	avoidAtMost = 4 * time.Second
+	// smoothingFactor is the weight of the newest sample in exponential averages.
+	smoothingFactor = 0.1
+	// failureRateHalfLife is the time in which a failure rate decays by half. Rates
+	// below minFailureRate count as 0.
+	failureRateHalfLife = 2 * time.Second
+	minFailureRate      = 0.02
+	// avoidAfterFailures is the number of consecutive failures after which an upstream
+	// is avoided; a single failure can be the fault of the request.
+	avoidAfterFailures = 2
+	// minAvoidInterval is how long an avoided upstream gets no requests before one is
+	// sent to it again.
+	minAvoidInterval = time.Second
+	// maxAvoidInterval bounds the interval, which doubles with each further failure.
+	maxAvoidInterval = 4 * time.Second
 )
 
-// state is what one instance knows of one upstream.
-type state struct {
+// upstreamState is what this instance knows about one upstream.
+type upstreamState struct {
 	registry.Upstream
-	// inFlight is this instance's own requests there, reading those of them
-	// that have had no event yet.
+	// inFlight is the number of this instance's requests at the upstream.
 	inFlight int
-	// pending is the prompt tokens of own requests that have had no event yet.
-	pending int64
+	// pendingTokens is the estimated prompt tokens that the engine still has to prefill for this
+	// instance's requests: those without a first event yet.
+	pendingTokens int64
 
-	// slowUntil is until when the upstream is slow after its start.
-	slowUntil time.Time
-	// assumedColdUntil is until when it may be so without having said it.
+	// coldUntil is when the cold period ends that the registry entry states.
+	coldUntil time.Time
+	// assumedColdUntil is when the cold period ends after a restart that the instance
+	// only assumes.
 	assumedColdUntil time.Time
 
 	running, waiting int
 	reportedAt       time.Time
-	// sinceReport is how many own requests went there since the report.
-	sinceReport int
+	// sentSinceReport is the number of this instance's requests sent since the report.
+	sentSinceReport int
 
-	failures   int
-	avoidUntil time.Time
-	// failing is the smoothed share of requests that failed, as of failingAt.
-	failing   float64
-	failingAt time.Time
-	// hash is of the incarnation's id.
+	consecutiveFailures int
+	avoidUntil          time.Time
+	// failureRate is the smoothed share of requests that failed, as of failureRateAt.
+	failureRate   float64
+	failureRateAt time.Time
+	// hash is the hash of the incarnation's id.
 	hash uint64
-	// rank is its place in the order in which engines are given to long prompts.
-	rank int
-	// cached holds when this instance last sent a prompt part there.
-	cached map[uint64]time.Time
+	// dedicationRank is the position in the order in which engines are dedicated to long
+	// prompts.
+	dedicationRank int
+	// partSentAt holds, by the id of a prompt part, when this instance last sent it there.
+	partSentAt map[uint64]time.Time
 }
 
-// load estimates the requests at the upstream: the report, faded by age towards
-// what this instance has there itself, and own requests since.
-func (s *state) load(now time.Time) float64 {
-	own := float64(s.inFlight)
+// load estimates the number of requests at the upstream: the reported number, decayed by
+// its age, plus this instance's requests sent since the report, but at least those that this
+// instance has in flight there.
+func (s *upstreamState) load(now time.Time) float64 {
+	inFlight := float64(s.inFlight)
 	if s.reportedAt.IsZero() {
-		return own
+		return inFlight
 	}
-	fresh := float64(loadHalfLife) / float64(loadHalfLife+now.Sub(s.reportedAt))
-	reported := float64(s.running+s.waiting) * fresh
-	return max(own, reported+float64(s.sinceReport))
+	weight := float64(loadHalfLife) / float64(loadHalfLife+now.Sub(s.reportedAt))
+	reported := float64(s.running+s.waiting) * weight
+	return max(inFlight, reported+float64(s.sentSinceReport))
 }
 
-func (s *state) avoided(now time.Time) bool {
-	return s.failures >= failuresBeforeAvoiding && now.Before(s.avoidUntil)
+func (s *upstreamState) avoided(now time.Time) bool {
+	return s.consecutiveFailures >= avoidAfterFailures && now.Before(s.avoidUntil)
 }
 
-// failingNow is the share of failures, faded by age: an upstream that gets nothing
-// because it failed has no other way to show that it has recovered.
-func (s *state) failingNow(now time.Time) float64 {
-	if s.failing == 0 {
+// currentFailureRate returns the failure rate decayed by its age. Without the decay, an
+// upstream that gets no requests because of its failures could never show that it recovered.
+func (s *upstreamState) currentFailureRate(now time.Time) float64 {
+	if s.failureRate == 0 {
 		return 0
 	}
-	halvings := float64(now.Sub(s.failingAt)) / float64(failingHalfLife)
-	if faded := s.failing * math.Exp2(-halvings); faded >= leastFailing {
-		return faded
+	halvings := float64(now.Sub(s.failureRateAt)) / float64(failureRateHalfLife)
+	if rate := s.failureRate * math.Exp2(-halvings); rate >= minFailureRate {
+		return rate
 	}
 	return 0
 }
 
-func (s *state) failed(now time.Time) {
-	s.failing = s.failingNow(now)
-	s.failing += smoothing * (1 - s.failing)
-	s.failingAt = now
-	s.failures++
-	pause := avoidFor
-	for n := failuresBeforeAvoiding; n < s.failures && pause < avoidAtMost; n++ {
-		pause *= 2
+func (s *upstreamState) recordFailure(now time.Time) {
+	s.failureRate = s.currentFailureRate(now)
+	s.failureRate += smoothingFactor * (1 - s.failureRate)
+	s.failureRateAt = now
+	s.consecutiveFailures++
+	interval := minAvoidInterval
+	for n := avoidAfterFailures; n < s.consecutiveFailures && interval < maxAvoidInterval; n++ {
+		interval *= 2
 	}
-	s.avoidUntil = now.Add(min(pause, avoidAtMost))
+	s.avoidUntil = now.Add(min(interval, maxAvoidInterval))
 }
 
-func (s *state) succeeded(now time.Time) {
-	s.failing = s.failingNow(now) * (1 - smoothing)
-	s.failingAt = now
-	s.failures = 0
+func (s *upstreamState) recordSuccess(now time.Time) {
+	s.failureRate = s.currentFailureRate(now) * (1 - smoothingFactor)
+	s.failureRateAt = now
+	s.consecutiveFailures = 0
 }
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -136,9 +136,9 @@
 try own-door-knows-emptied-domains pkg/dispatch/picker.go 's/ \|\| p\.emptied\[upstream\.Domain\]//' test TestOwnDoorSendsNothingToAnEmptiedDomain
 try emptied-stay-in-a-later-era pkg/registry/emptied.go 's/case crossed:/case crossed && e.held == nil:/' pkg/registry TestEmptiedDomainStaysOutWhenTheStoreGoesBack
 try older-lists-restore-nothing pkg/registry/emptied.go 's/if position\.Before\(e\.position\) \{/if false {/' pkg/registry TestEmptiedDomainIsOutUntilItIsRestored
-try cold-limit-at-the-choice pkg/placement/pool.go 's/ \|\| !p\.mayTake\(s, now\)//' pkg/placement TestColdUpstreamGetsWhatItTakes
-try returned-are-cold pkg/placement/pool.go 's/noteReturned\(before,/noteReturned(before[:0],/' pkg/placement TestReturnedUpstreamIsTakenForCold
-try cold-before-the-sending pkg/placement/pool.go 's/ && l\.mayBeSent\(\)//' pkg/placement TestUpstreamThatTurnsColdAfterTheChoiceGetsNothing
+try cold-limit-at-the-choice pkg/placement/pool.go 's/ \|\| !p\.withinColdLimit\(s, now\)//' pkg/placement TestColdUpstreamGetsWhatItTakes
+try returned-are-cold pkg/placement/pool.go 's/assumeReturnedCold\(before,/assumeReturnedCold(before[:0],/' pkg/placement TestReturnedUpstreamIsTakenForCold
+try cold-before-the-sending pkg/placement/pool.go 's/ && l\.withinColdLimit\(\)//' pkg/placement TestUpstreamThatTurnsColdAfterTheChoiceGetsNothing
 try sides-share-the-bound pkg/coldlimit/limit.go 's/max\(most\/sides, 1\)/most/' pkg/coldlimit TestAllInstancesTogetherStayWithinTheBound
 try silent-keep-their-rank pkg/coldlimit/limit.go 's/rememberNames = 10 \* time\.Minute/rememberNames = time.Millisecond/' pkg/coldlimit TestSilentInstancesKeepTheirRank
 try starts-send-nothing-to-the-cold pkg/coldlimit/limit.go 's/if l\.now\(\)\.Sub\(l\.born\) < window \{/if false {/' pkg/coldlimit TestAllInstancesTogetherStayWithinTheBound
