--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -33,17 +33,17 @@
 	for n := uint64(1); b.Loop(); n++ {
 		p.mu.Lock()
 		if p.pick(n, nil) == nil {
-			b.Fatal("none")
+			b.Fatal("no upstream was picked")
 		}
 		p.mu.Unlock()
 	}
 }
 
-// A leaving upstream takes nothing new while its running requests finish.
+// A leaving upstream must get no new requests while its running requests finish.
 func TestLeavingUpstreamIsNotPicked(t *testing.T) {
 	p := poolOf(3, 10)
-	want := Want{StartBy: time.Now().Add(time.Minute)}
-	running, err := p.Acquire(t.Context(), want)
+	req := Want{StartBy: time.Now().Add(time.Minute)}
+	running, err := p.Acquire(t.Context(), req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	}
 	p.Update(doc)
 	for range 20 {
-		lease, err := p.Acquire(t.Context(), want)
+		lease, err := p.Acquire(t.Context(), req)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,8 +68,8 @@
 	running.Done(Result{Load: -1})
 }
 
-// All places are taken by long drafts. An urgent request that waits is started
-// before drafts that have waited longer.
+// Long drafts occupy the whole pool. A queued urgent request must start before drafts
+// that have waited longer.
 func TestUrgentGoesBeforeDrafts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := poolOf(1, 1)
@@ -99,8 +99,8 @@
 	})
 }
 
-// The queue is longer than can be worked off before a request's deadline. It is
-// refused at once with when to come back, not held until it is too late.
+// The queue cannot drain before a request's deadline. The request must be refused
+// immediately with a time to retry after, not held until its deadline.
 func TestHopelessIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := poolOf(1, 1)
@@ -109,7 +109,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
-		lease.Done(Result{Load: -1}) // a request takes ten seconds
+		lease.Done(Result{Load: -1}) // makes the service time ten seconds
 		_, _ = p.Acquire(t.Context(), Want{StartBy: time.Now().Add(time.Hour)})
 		for range 5 {
 			go func() { _, _ = p.Acquire(t.Context(), Want{StartBy: time.Now().Add(time.Hour)}) }()
@@ -122,11 +122,11 @@
 			t.Errorf("got %v", err)
 		}
 		if waited := time.Since(before); waited != 0 {
-			t.Errorf("it was held for %v", waited)
+			t.Errorf("the request was held for %v before it was refused", waited)
 		}
 		for range 6 { // let the others end
 			p.mu.Lock()
-			u := p.states[0]
+			u := p.available[0]
 			p.mu.Unlock()
 			(&Lease{pool: p, state: u, started: time.Now()}).Done(Result{Load: -1})
 			synctest.Wait()
@@ -134,8 +134,8 @@
 	})
 }
 
-// A waiter's deadline passes at the moment a place is given to it. The place
-// must go back, or the pool would lose it for good.
+// A waiter is cancelled at the moment when it is granted a lease. The lease must be
+// released, or the pool loses that capacity permanently.
 func TestPlaceGivenTooLateGoesBack(t *testing.T) {
 	p := poolOf(1, 1)
 	for range 200 {
@@ -161,6 +161,6 @@
 		<-done
 	}
 	if p.InFlight() != 0 {
-		t.Errorf("%d places are lost", p.InFlight())
+		t.Errorf("%d leases were not released", p.InFlight())
 	}
 }
--- a/pkg/dispatch/compare_test.go
+++ b/pkg/dispatch/compare_test.go
@@ -11,41 +11,42 @@
 	"github.com/lavenderring/lavenderring/pkg/document"
 )
 
-// Sizes of the comparison: Betuwe-Oost's instances and engines.
+// Parameters of the simulation. The numbers of instances and engines are those of the
+// deployment in Betuwe-Oost.
 const (
-	simInstances = 8
-	simEngines   = 20
-	simSlots     = 8
-	simDomains   = 4
-	simRequests  = 20_000
-	simPrefixes  = 60
-	simLag       = 200 * time.Millisecond
-	simDeadline  = 10 * time.Second
-	// simNever stands for a first token that never came.
-	simNever = time.Hour
-	// pollsPerSecond is how many engines an instance asks for their load.
+	simInstances          = 8
+	simEngines            = 20
+	simSlots              = 8
+	simDomains            = 4
+	simRequests           = 20_000
+	simPrefixes           = 60
+	simReportInterval     = 200 * time.Millisecond
+	simFirstTokenDeadline = 10 * time.Second
+	// simNoFirstToken is recorded for a request that never got its first token.
+	simNoFirstToken = time.Hour
+	// pollsPerSecond is the number of engines that an instance queries for their load per second.
 	pollsPerSecond = 16
-	// prefill is the time to a first token without and with the prefix cached.
-	simPrefill       = 400 * time.Millisecond
-	simCachedPrefill = 100 * time.Millisecond
-	simCachedMost    = 8 // prefixes that one engine keeps
+	// simPrefill and simCachedPrefill are the times to the first token without and with a cached prefix.
+	simPrefill           = 400 * time.Millisecond
+	simCachedPrefill     = 100 * time.Millisecond
+	simMaxCachedPrefixes = 8 // per engine
 )
 
-// chooser picks an engine for a request at an instance.
+// chooser chooses the engine for a request at an instance.
 type chooser interface {
-	choose(s *sim, instance int, prefix uint64) int
-	head(s *sim, instance, engine int)
-	done(s *sim, instance, engine int, failed bool)
+	choose(s *simulation, instance int, prefix uint64) int
+	reportLoad(s *simulation, instance, engine int)
+	done(s *simulation, instance, engine int, failed bool)
 }
 
-// simEngine is a model of an engine: slots, a queue, a prefix cache.
+// simEngine simulates an engine with slots, a queue and a prefix cache.
 type simEngine struct {
-	busy     int
-	queue    []*simRequest
-	cached   []uint64
-	slowness float64
-	dead     bool
-	reported int
+	running      int
+	queue        []*simRequest
+	cached       []uint64
+	slowdown     float64
+	dead         bool
+	reportedLoad int
 }
 
 type simRequest struct {
@@ -54,12 +55,12 @@
 	engine   int
 	prefix   uint64
 	work     time.Duration
-	tries    int
+	attempts int
 }
 
 type simEvent struct {
 	at  time.Duration
-	do  func()
+	run func()
 	seq int
 }
 
@@ -78,83 +79,84 @@
 	return last
 }
 
-// sim runs one chooser over one seeded workload.
-type sim struct {
-	now     time.Duration
-	events  simEvents
-	seq     int
-	engines []*simEngine
-	chooser chooser
-	firsts  []time.Duration
-	late    int
+// simulation runs one chooser on one seeded workload in virtual time.
+type simulation struct {
+	now             time.Duration
+	events          simEvents
+	seq             int
+	engines         []*simEngine
+	chooser         chooser
+	firstTokenTimes []time.Duration
+	numLate         int
 }
 
-func (s *sim) after(d time.Duration, do func()) {
+func (s *simulation) after(delay time.Duration, run func()) {
 	s.seq++
-	heap.Push(&s.events, simEvent{at: s.now + d, do: do, seq: s.seq})
+	heap.Push(&s.events, simEvent{at: s.now + delay, run: run, seq: s.seq})
 }
 
-func (s *sim) run() {
+func (s *simulation) run() {
 	for len(s.events) > 0 {
 		event := heap.Pop(&s.events).(simEvent)
 		s.now = event.at
-		event.do()
+		event.run()
 	}
 }
 
-// send brings a request to an engine; a dead one fails it after a while, and the
-// instance tries another.
-func (s *sim) send(r *simRequest) {
+// send sends a request to the chosen engine. A dead engine fails it after 50 ms, and the
+// instance tries again, five times in all.
+func (s *simulation) send(r *simRequest) {
 	r.engine = s.chooser.choose(s, r.instance, r.prefix)
 	e := s.engines[r.engine]
 	if e.dead {
 		s.after(50*time.Millisecond, func() {
 			s.chooser.done(s, r.instance, r.engine, true)
-			if r.tries++; r.tries < 5 {
+			if r.attempts++; r.attempts < 5 {
 				s.send(r)
 				return
 			}
-			s.late++
-			s.firsts = append(s.firsts, simNever)
+			s.numLate++
+			s.firstTokenTimes = append(s.firstTokenTimes, simNoFirstToken)
 		})
 		return
 	}
-	if e.busy == simSlots {
+	if e.running == simSlots {
 		e.queue = append(e.queue, r)
 		return
 	}
-	s.begin(e, r)
+	s.start(e, r)
 }
 
-func (s *sim) begin(e *simEngine, r *simRequest) {
-	e.busy++
+func (s *simulation) start(e *simEngine, r *simRequest) {
+	e.running++
 	prefill := simPrefill
-	if e.touch(r.prefix) {
+	if e.useCached(r.prefix) {
 		prefill = simCachedPrefill
 	}
-	prefill = time.Duration(float64(prefill) * e.slowness)
-	work := time.Duration(float64(r.work) * e.slowness)
-	s.chooser.head(s, r.instance, r.engine)
+	prefill = time.Duration(float64(prefill) * e.slowdown)
+	work := time.Duration(float64(r.work) * e.slowdown)
+	s.chooser.reportLoad(s, r.instance, r.engine)
 	s.after(prefill, func() {
-		first := s.now - r.arrived
-		s.firsts = append(s.firsts, first)
-		if first > simDeadline {
-			s.late++
+		firstTokenTime := s.now - r.arrived
+		s.firstTokenTimes = append(s.firstTokenTimes, firstTokenTime)
+		if firstTokenTime > simFirstTokenDeadline {
+			s.numLate++
 		}
 	})
 	s.after(prefill+work, func() {
-		e.busy--
+		e.running--
 		s.chooser.done(s, r.instance, r.engine, false)
 		if len(e.queue) > 0 {
 			next := e.queue[0]
 			e.queue = e.queue[1:]
-			s.begin(e, next)
+			s.start(e, next)
 		}
 	})
 }
 
-// touch looks a prefix up in the engine's cache and keeps it as the newest.
-func (e *simEngine) touch(prefix uint64) bool {
+// useCached reports whether the engine has the prefix in its cache, and makes it the most
+// recently used entry.
+func (e *simEngine) useCached(prefix uint64) bool {
 	for i, cached := range e.cached {
 		if cached == prefix {
 			e.cached = append(append(e.cached[:i:i], e.cached[i+1:]...), prefix)
@@ -162,42 +164,43 @@
 		}
 	}
 	e.cached = append(e.cached, prefix)
-	if len(e.cached) > simCachedMost {
+	if len(e.cached) > simMaxCachedPrefixes {
 		e.cached = e.cached[1:]
 	}
 	return false
 }
 
-// randomChoice and leastReported are the baselines.
+// randomChoice and leastReported are the baselines: a random engine, and the engine with
+// the least reported load.
 type randomChoice struct{ rng *rand.Rand }
 
-func (c randomChoice) choose(*sim, int, uint64) int { return c.rng.IntN(simEngines) }
-func (c randomChoice) head(*sim, int, int)          {}
-func (c randomChoice) done(*sim, int, int, bool)    {}
+func (c randomChoice) choose(*simulation, int, uint64) int { return c.rng.IntN(simEngines) }
+func (c randomChoice) reportLoad(*simulation, int, int)    {}
+func (c randomChoice) done(*simulation, int, int, bool)    {}
 
 type leastReported struct{ rng *rand.Rand }
 
-func (c leastReported) choose(s *sim, _ int, _ uint64) int {
+func (c leastReported) choose(s *simulation, _ int, _ uint64) int {
 	best, start := -1, c.rng.IntN(simEngines)
 	for i := range simEngines {
 		n := (start + i) % simEngines
-		if best < 0 || s.engines[n].reported < s.engines[best].reported {
+		if best < 0 || s.engines[n].reportedLoad < s.engines[best].reportedLoad {
 			best = n
 		}
 	}
 	return best
 }
-func (c leastReported) head(*sim, int, int)       {}
-func (c leastReported) done(*sim, int, int, bool) {}
+func (c leastReported) reportLoad(*simulation, int, int) {}
+func (c leastReported) done(*simulation, int, int, bool) {}
 
-// pools is the code under test: a Pool for each instance.
-type pools struct {
+// poolChooser runs the code under test, a Pool for each instance.
+type poolChooser struct {
 	pools  []*Pool
 	leases map[[2]int][]*Lease
 }
 
-func newPools(s *sim, seed uint64) *pools {
-	c := &pools{leases: map[[2]int][]*Lease{}}
+func newPoolChooser(s *simulation, seed uint64) *poolChooser {
+	c := &poolChooser{leases: map[[2]int][]*Lease{}}
 	epoch := time.Unix(0, 0)
 	doc := &document.Pool{MaxConcurrent: 1 << 20}
 	for n := range simEngines {
@@ -216,10 +219,10 @@
 
 func domainName(n int) string { return string(rune('a' + n%simDomains)) }
 
-func (c *pools) choose(_ *sim, instance int, prefix uint64) int {
-	_, lease, err := c.pools[instance].enter(Want{Prefix: prefix, StartBy: time.Unix(1<<40, 0)})
+func (c *poolChooser) choose(_ *simulation, instance int, prefix uint64) int {
+	_, lease, err := c.pools[instance].tryAcquire(Want{Prefix: prefix, StartBy: time.Unix(1<<40, 0)})
 	if err != nil || lease == nil {
-		panic("the comparison has no limit")
+		panic("Pool granted no lease though the simulation sets no limit")
 	}
 	engine := 0
 	_, _ = fmt.Sscan(lease.Upstream.Name, &engine)
@@ -228,48 +231,48 @@
 	return engine
 }
 
-func (c *pools) head(s *sim, instance, engine int) {
+func (c *poolChooser) reportLoad(s *simulation, instance, engine int) {
 	key := [2]int{instance, engine}
-	c.leases[key][0].Report(float64(s.engines[engine].reported))
+	c.leases[key][0].Report(float64(s.engines[engine].reportedLoad))
 }
 
-// poll gives each instance one engine's report in turn, pollsPerSecond of them.
-func (c *pools) poll(s *sim, n int) {
+// poll reports the load of one engine, each in turn, to all instances.
+func (c *poolChooser) poll(s *simulation, n int) {
 	engine := n % simEngines
 	if s.engines[engine].dead {
 		return
 	}
 	for _, p := range c.pools {
-		p.Report(fmt.Sprint(engine), float64(s.engines[engine].reported))
+		p.Report(fmt.Sprint(engine), float64(s.engines[engine].reportedLoad))
 	}
 }
 
-func (c *pools) done(s *sim, instance, engine int, failed bool) {
+func (c *poolChooser) done(s *simulation, instance, engine int, failed bool) {
 	key := [2]int{instance, engine}
 	lease := c.leases[key][0]
 	c.leases[key] = c.leases[key][1:]
-	load := float64(s.engines[engine].reported)
+	load := float64(s.engines[engine].reportedLoad)
 	if failed {
 		load = -1
 	}
 	lease.Done(Result{Failed: failed, Load: load})
 }
 
-// play runs one workload at a load, a part of what the engines can do.
-func play(load float64, faults bool, seed uint64, makeChooser func(*sim) chooser) *sim {
-	s := &sim{}
+// simulate runs one workload at the load, given as a fraction of the engines' capacity.
+func simulate(load float64, faults bool, seed uint64, newChooser func(*simulation) chooser) *simulation {
+	s := &simulation{}
 	for range simEngines {
-		s.engines = append(s.engines, &simEngine{slowness: 1})
+		s.engines = append(s.engines, &simEngine{slowdown: 1})
 	}
 	capacity := float64(simEngines * simSlots)
 	if faults {
-		s.engines[3].slowness = 4
+		s.engines[3].slowdown = 4
 		s.engines[7].dead = true
 		capacity -= simSlots * 1.75
 	}
-	s.chooser = makeChooser(s)
+	s.chooser = newChooser(s)
 	rng := rand.New(rand.NewPCG(seed, 11))
-	const meanWork = 0.75*1.5 + 0.25*8 + 0.25 // seconds, prefill roughly counted
+	const meanWork = 0.75*1.5 + 0.25*8 + 0.25 // seconds, including about 0.25 of prefill
 	rate := load * capacity / meanWork
 	at := time.Duration(0)
 	for range simRequests {
@@ -286,8 +289,8 @@
 		}
 		s.after(at, func() { s.send(r) })
 	}
-	s.reportUntil(at)
-	if c, ok := s.chooser.(*pools); ok {
+	s.scheduleReports(at)
+	if c, ok := s.chooser.(*poolChooser); ok {
 		n := 0
 		for poll := time.Duration(0); poll < at; poll += time.Second / pollsPerSecond {
 			s.after(poll, func() { c.poll(s, n); n++ })
@@ -297,27 +300,28 @@
 	return s
 }
 
-// reportUntil lets engines report their load with its lag.
-func (s *sim) reportUntil(end time.Duration) {
-	for at := time.Duration(0); at < end; at += simLag {
+// scheduleReports schedules the engines' load reports, one every simReportInterval.
+func (s *simulation) scheduleReports(end time.Duration) {
+	for at := time.Duration(0); at < end; at += simReportInterval {
 		s.after(at, func() {
 			for _, e := range s.engines {
-				e.reported = e.busy + len(e.queue)
+				e.reportedLoad = e.running + len(e.queue)
 			}
 		})
 	}
 }
 
-func (s *sim) quantile(q float64) time.Duration {
-	sorted := append([]time.Duration(nil), s.firsts...)
+func (s *simulation) quantile(q float64) time.Duration {
+	sorted := append([]time.Duration(nil), s.firstTokenTimes...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i] < sorted[j] })
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// Crews wait for the first word. On the same seeded workload the choice must keep
-// the 95th percentile well below random choice and least reported load, which
-// herds to whoever was idle at the last report; with one engine slow and one dead
-// too. Virtual time and fixed seeds: the verdict is the same each time.
+// Users wait for the first token. On the same seeded workload, Pool must keep the 95th
+// percentile of that time well below two baselines: random choice, and least reported
+// load, which sends all requests to the engine that was idle at the last report. This must
+// also hold with one slow and one dead engine. Virtual time and fixed seeds make the result
+// reproducible.
 func TestFirstTokenAgainstBaselines(t *testing.T) {
 	for _, c := range []struct {
 		description string
@@ -330,16 +334,16 @@
 		{"110 % load", 1.1, false},
 	} {
 		t.Run(c.description, func(t *testing.T) {
-			ours := play(c.load, c.faults, 1, func(s *sim) chooser { return newPools(s, 1) })
-			random := play(c.load, c.faults, 1, func(*sim) chooser { return randomChoice{rand.New(rand.NewPCG(1, 1))} })
-			least := play(c.load, c.faults, 1, func(*sim) chooser { return leastReported{rand.New(rand.NewPCG(1, 1))} })
-			for name, s := range map[string]*sim{"this project": ours, "random": random, "least reported": least} {
+			pool := simulate(c.load, c.faults, 1, func(s *simulation) chooser { return newPoolChooser(s, 1) })
+			random := simulate(c.load, c.faults, 1, func(*simulation) chooser { return randomChoice{rand.New(rand.NewPCG(1, 1))} })
+			least := simulate(c.load, c.faults, 1, func(*simulation) chooser { return leastReported{rand.New(rand.NewPCG(1, 1))} })
+			for name, s := range map[string]*simulation{"Pool": pool, "random": random, "least reported": least} {
 				t.Logf("%-15s p50 %7v p95 %7v p99 %7v late %d", name, s.quantile(0.5).Round(time.Millisecond),
-					s.quantile(0.95).Round(time.Millisecond), s.quantile(0.99).Round(time.Millisecond), s.late)
+					s.quantile(0.95).Round(time.Millisecond), s.quantile(0.99).Round(time.Millisecond), s.numLate)
 			}
-			better := min(random.quantile(0.95), least.quantile(0.95))
-			if c.load == 0.9 && float64(ours.quantile(0.95)) > 0.8*float64(better) {
-				t.Errorf("p95 %v, the better baseline %v", ours.quantile(0.95), better)
+			baseline := min(random.quantile(0.95), least.quantile(0.95))
+			if c.load == 0.9 && float64(pool.quantile(0.95)) > 0.8*float64(baseline) {
+				t.Errorf("p95 is %v, that of the better baseline %v; want at most 80 %% of it", pool.quantile(0.95), baseline)
 			}
 		})
 	}
--- a/pkg/dispatch/emptied_test.go
+++ b/pkg/dispatch/emptied_test.go
@@ -8,37 +8,37 @@
 	"github.com/lavenderring/lavenderring/pkg/document"
 )
 
-// Guards against requests that wait until their deadline though nothing is left to serve them, and
-// against a place at an upstream whose domain was emptied after the choice.
+// Guards against requests that wait until their deadline though no upstream is left to serve them, and
+// against sending a request to an upstream whose failure domain was emptied after the choice.
 func TestEmptiedDomainRefusesWhoWaitsThere(t *testing.T) {
 	p := NewPool("a", time.Now)
 	p.Update(&document.Pool{Name: "jobs", MaxConcurrent: 1, Upstreams: []document.Upstream{{Name: "u", Domain: "a"}}})
-	want := Want{Pool: "jobs", StartBy: time.Now().Add(time.Minute)}
-	lease, err := p.Acquire(t.Context(), want)
+	req := Want{Pool: "jobs", StartBy: time.Now().Add(time.Minute)}
+	lease, err := p.Acquire(t.Context(), req)
 	if err != nil || !lease.InService() {
 		t.Fatalf("in service %t, %v", lease.InService(), err)
 	}
 	refused := make(chan error, 1)
 	go func() {
-		_, err := p.Acquire(t.Context(), want)
+		_, err := p.Acquire(t.Context(), req)
 		refused <- err
 	}()
 	for waiting := 0; waiting == 0; time.Sleep(time.Millisecond) {
 		p.mu.Lock()
-		waiting = p.ahead(false)
+		waiting = p.numAhead(false)
 		p.mu.Unlock()
 	}
 	p.SetEmptied([]string{"a"})
 	var overload *OverloadError
 	if err := <-refused; !errors.As(err, &overload) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want an OverloadError", err)
 	}
 	if lease.InService() {
-		t.Error("the place is still in service")
+		t.Error("the lease is still in service after its domain was emptied")
 	}
 	lease.Done(Result{Load: -1})
 	p.SetEmptied(nil)
-	if _, err := p.Acquire(t.Context(), want); err != nil {
-		t.Errorf("taken back: %v", err)
+	if _, err := p.Acquire(t.Context(), req); err != nil {
+		t.Errorf("after the domain was restored: %v", err)
 	}
 }
--- a/pkg/dispatch/picker.go
+++ b/pkg/dispatch/picker.go
@@ -1,11 +1,11 @@
-// Package dispatch chooses an upstream for a request and holds back or refuses
-// what cannot be started yet.
+// Package dispatch chooses an upstream for a request, and queues or refuses
+// requests that cannot start yet.
 //
-// The choice looks at a few candidates only, so its cost does not grow with the
-// pool: all of a small one, eight drawn at random of a large one, and the one that
-// the prompt's prefix hashes to. Of them the one with the least expected work wins;
-// the prefix's own upstream is preferred while its load is within a bound of the
-// others'.
+// The choice considers a few candidates only, so that its cost does not grow with
+// the pool: all upstreams of a small pool, eight random ones of a large pool, and the
+// one that the prompt's prefix hashes to. It takes the candidate with the least
+// expected work, but prefers the prefix's upstream while its load exceeds that
+// candidate's by no more than a bound.
 package dispatch
 
 import (
@@ -17,71 +17,74 @@
 	"github.com/lavenderring/lavenderring/pkg/document"
 )
 
-// Constants of the choice.
+// Parameters of the choice.
 const (
-	// lookAtAll is the largest pool of which every upstream is a candidate.
-	lookAtAll = 32
-	// drawn is how many candidates are drawn at random from a larger one.
-	drawn = 8
-	// otherDomainCost is what standing in another failure domain weighs, in
+	// maxFullScan is the size of the largest pool of which every upstream is a candidate.
+	maxFullScan = 32
+	// sampleSize is the number of random candidates in a larger pool.
+	sampleSize = 8
+	// otherDomainCost is the cost of an upstream in another failure domain, in
 	// requests.
 	otherDomainCost = 0.5
-	// affinityBound is how much more load the prefix's own upstream may have
-	// than the best candidate, in requests.
-	affinityBound = 6.0
-	// loadHalfLife is the age at which a reported load counts half.
+	// maxAffinityExcess is the most by which the cost of the prefix's upstream may
+	// exceed that of the best candidate, in requests.
+	maxAffinityExcess = 6.0
+	// loadHalfLife is the age at which a reported load has half its weight.
 	loadHalfLife = 10 * time.Second
-	// leastPace and mostPace bound how much slower or faster than the pool's
-	// mean an upstream is taken to be.
-	leastPace = 0.5
-	mostPace  = 8.0
-	// failuresBeforeAvoiding is how many failures in a row pass an upstream over.
-	failuresBeforeAvoiding = 3
-	// avoidFor is how long it is passed over before a request tries it again.
-	avoidFor = 2 * time.Second
-	// serviceSmoothing is the weight of the newest request in the smoothed time
-	// that a request takes.
-	serviceSmoothing = 0.1
+	// minRelativeServiceTime and maxRelativeServiceTime bound the ratio of an
+	// upstream's service time to the mean of the pool.
+	minRelativeServiceTime = 0.5
+	maxRelativeServiceTime = 8.0
+	// avoidAfterFailures is the number of consecutive failures after which an
+	// upstream is avoided.
+	avoidAfterFailures = 3
+	// avoidInterval is how long an upstream is avoided before a request is sent to it
+	// again.
+	avoidInterval = 2 * time.Second
+	// serviceTimeSmoothing is the weight of the newest request in the exponential
+	// average of service times.
+	serviceTimeSmoothing = 0.1
 )
 
-// upstreamState is what this instance knows of one upstream.
+// upstreamState is what this instance knows about one upstream.
 type upstreamState struct {
-	upstream   document.Upstream
-	inFlight   int
-	sinceLoad  int // own dispatches since the load was reported
-	load       float64
-	loadAt     time.Time
-	service    time.Duration // smoothed time that a request takes there
-	failures   int
-	avoidUntil time.Time
+	upstream            document.Upstream
+	inFlight            int
+	sentSinceReport     int // requests of this instance since the load was reported
+	reportedLoad        float64
+	reportedAt          time.Time
+	serviceTime         time.Duration // exponential average; 0 before the first request
+	consecutiveFailures int
+	avoidUntil          time.Time
 }
 
-// cost is the work expected to be before and with a new request, in requests of
-// the pool's mean. An upstream that takes four times as long counts four times:
-// its queue is as long as the others' when it is four times as late.
+// cost returns the expected work at the upstream including a new request, in
+// requests of the pool's mean service time. The requests at an upstream that takes
+// four times as long count four times, since each delays the new one four times as
+// much.
 func (p *Pool) cost(u *upstreamState, now time.Time) float64 {
 	work := float64(u.inFlight)
-	if u.load > 0 {
-		age := now.Sub(u.loadAt)
-		fresh := float64(loadHalfLife) / float64(loadHalfLife+age)
-		work = max(work, u.load*fresh+float64(u.sinceLoad))
+	if u.reportedLoad > 0 {
+		age := now.Sub(u.reportedAt)
+		weight := float64(loadHalfLife) / float64(loadHalfLife+age)
+		work = max(work, u.reportedLoad*weight+float64(u.sentSinceReport))
 	}
-	cost := (work + 1) * p.pace(u)
+	cost := (work + 1) * p.relativeServiceTime(u)
 	if u.upstream.Domain != p.domain {
 		cost += otherDomainCost
 	}
 	return cost
 }
 
-func (p *Pool) pace(u *upstreamState) float64 {
-	if u.service == 0 || p.service == 0 {
+func (p *Pool) relativeServiceTime(u *upstreamState) float64 {
+	if u.serviceTime == 0 || p.serviceTime == 0 {
 		return 1
 	}
-	return min(max(float64(u.service)/float64(p.service), leastPace), mostPace)
+	return min(max(float64(u.serviceTime)/float64(p.serviceTime), minRelativeServiceTime), maxRelativeServiceTime)
 }
 
 func (u *upstreamState) avoided(now time.Time) bool {
-	return u.failures >= failuresBeforeAvoiding && now.Before(u.avoidUntil)
+	return u.consecutiveFailures >= avoidAfterFailures && now.Before(u.avoidUntil)
 }
 
 // Pool chooses among the upstreams of one pool. It is safe for concurrent use.
@@ -89,20 +92,21 @@
 	domain string
 	now    func() time.Time
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	limit  int
-	states []*upstreamState
-	byName map[string]*upstreamState
-	// declared are the document's upstreams, emptied the failure domains whose upstreams get nothing.
-	declared []document.Upstream
-	emptied  map[string]bool
-	waiting  [2]waitList // urgent ones first
-	service  time.Duration
-	inFlight int
+	mu            sync.Mutex
+	rng           *rand.Rand
+	maxConcurrent int
+	available     []*upstreamState
+	byName        map[string]*upstreamState
+	// declared are the upstreams of the document, emptied the failure domains whose upstreams get no
+	// new requests.
+	declared    []document.Upstream
+	emptied     map[string]bool
+	waitLists   [2]waitList // urgent requests, then the others
+	serviceTime time.Duration
+	inFlight    int
 }
 
-// NewPool returns a pool without upstreams for an instance in a failure domain.
+// NewPool returns a pool without upstreams for an instance in the failure domain.
 func NewPool(domain string, now func() time.Time) *Pool {
 	return &Pool{
 		domain: domain,
@@ -112,17 +116,17 @@
 	}
 }
 
-// Update takes over the document's upstreams. Those that leave, or are gone,
-// get nothing new from here on; what runs on them finishes.
+// Update applies the pool's configuration from the document. Upstreams that leave or are
+// no longer listed get no new requests; requests running there finish.
 func (p *Pool) Update(pool *document.Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit = pool.MaxConcurrent
+	p.maxConcurrent = pool.MaxConcurrent
 	p.declared = pool.Upstreams
 	p.refresh()
 }
 
-// SetEmptied takes over which failure domains are emptied: their upstreams get nothing new from here on.
+// SetEmptied replaces the set of emptied failure domains, whose upstreams get no new requests.
 func (p *Pool) SetEmptied(domains []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,9 +137,9 @@
 	p.refresh()
 }
 
-// refresh works out which upstreams may be chosen; p.mu is held.
+// refresh recomputes which upstreams may be chosen. The caller holds p.mu.
 func (p *Pool) refresh() {
-	p.states = make([]*upstreamState, 0, len(p.declared))
+	p.available = make([]*upstreamState, 0, len(p.declared))
 	for _, upstream := range p.declared {
 		if upstream.State == document.StateLeaving || p.emptied[upstream.Domain] {
 			continue
@@ -146,18 +150,18 @@
 			p.byName[upstream.Name] = state
 		}
 		state.upstream = upstream
-		p.states = append(p.states, state)
+		p.available = append(p.available, state)
 	}
-	p.forgetGone()
-	if len(p.states) == 0 {
-		p.refuseWaiting()
+	p.deleteRemoved()
+	if len(p.available) == 0 {
+		p.refuseWaiters()
 	}
-	p.wake()
+	p.grantLeases()
 }
 
-func (p *Pool) forgetGone() {
+func (p *Pool) deleteRemoved() {
 	present := map[string]bool{}
-	for _, state := range p.states {
+	for _, state := range p.available {
 		present[state.upstream.Name] = true
 	}
 	for name, state := range p.byName {
@@ -167,8 +171,8 @@
 	}
 }
 
-// pick returns the chosen upstream, or nil if none can take a request now;
-// p.mu is held. Upstreams named in tried are passed over.
+// pick returns the chosen upstream, or nil if none can take a request now. Upstreams
+// named in tried are excluded. The caller holds p.mu.
 func (p *Pool) pick(prefix uint64, tried []string) *upstreamState {
 	now := p.now()
 	var best *upstreamState
@@ -181,41 +185,42 @@
 			best, bestCost = u, cost
 		}
 	}
-	if len(p.states) > lookAtAll {
-		for range drawn {
-			consider(p.states[p.rng.IntN(len(p.states))])
+	if len(p.available) > maxFullScan {
+		for range sampleSize {
+			consider(p.available[p.rng.IntN(len(p.available))])
 		}
 	}
-	if best == nil && len(p.states) > 0 {
-		p.scan(consider)
+	if best == nil && len(p.available) > 0 {
+		p.considerAll(consider)
 	}
-	return p.preferOwn(prefix, best, bestCost, tried, now)
+	return p.preferPrefixUpstream(prefix, best, bestCost, tried, now)
 }
 
-// scan looks at every upstream, from a random one on so that equals take turns:
-// in a small pool, and when those drawn cannot take the request.
-func (p *Pool) scan(consider func(*upstreamState)) {
-	start := p.rng.IntN(len(p.states))
-	for i := range p.states {
-		consider(p.states[(start+i)%len(p.states)])
+// considerAll considers every upstream, starting at a random one so that equal upstreams
+// share the load. It is used for small pools, and if no sampled upstream can take the
+// request.
+func (p *Pool) considerAll(consider func(*upstreamState)) {
+	start := p.rng.IntN(len(p.available))
+	for i := range p.available {
+		consider(p.available[(start+i)%len(p.available)])
 	}
 }
 
-func (p *Pool) preferOwn(
+func (p *Pool) preferPrefixUpstream(
 	prefix uint64, best *upstreamState, bestCost float64, tried []string, now time.Time,
 ) *upstreamState {
 	if prefix == 0 || best == nil {
 		return best
 	}
-	own := p.states[jump(prefix, len(p.states))]
-	if p.eligible(own, tried, now) && p.cost(own, now) <= bestCost+affinityBound {
-		return own
+	preferred := p.available[jumpHash(prefix, len(p.available))]
+	if p.eligible(preferred, tried, now) && p.cost(preferred, now) <= bestCost+maxAffinityExcess {
+		return preferred
 	}
 	return best
 }
 
-// jump is the jump consistent hash of Lamping and Veach (2014).
-func jump(key uint64, buckets int) int {
+// jumpHash is the jump consistent hash of Lamping and Veach (2014).
+func jumpHash(key uint64, buckets int) int {
 	const multiplier = 2862933555777941757
 	bucket, next := int64(-1), int64(0)
 	for next < int64(buckets) {
@@ -227,7 +232,7 @@
 }
 
 func (p *Pool) eligible(u *upstreamState, tried []string, now time.Time) bool {
-	if u.inFlight >= p.limit || u.avoided(now) {
+	if u.inFlight >= p.maxConcurrent || u.avoided(now) {
 		return false
 	}
 	for _, name := range tried {
@@ -238,9 +243,9 @@
 	return true
 }
 
-// Lease is a request's place on an upstream until Done.
+// Lease is a request's hold on an upstream until Done.
 type Lease struct {
-	// Upstream is the chosen one.
+	// Upstream is the chosen upstream.
 	Upstream document.Upstream
 
 	pool    *Pool
@@ -248,32 +253,33 @@
 	started time.Time
 }
 
-func (p *Pool) lease(u *upstreamState) *Lease {
+func (p *Pool) newLease(u *upstreamState) *Lease {
 	u.inFlight++
-	u.sinceLoad++
+	u.sentSinceReport++
 	p.inFlight++
 	return &Lease{Upstream: u.upstream, pool: p, state: u, started: p.now()}
 }
 
-// InService reports that the upstream may still get the request: since the choice it may have been said
-// to leave, or its domain may have been emptied.
+// InService reports whether the request may still be sent to the upstream. Since the choice, the upstream may
+// have been declared leaving, or its failure domain may have been emptied.
 func (l *Lease) InService() bool {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	return slices.Contains(l.pool.states, l.state)
+	return slices.Contains(l.pool.available, l.state)
 }
 
-// Result is how a request on an upstream ended.
+// Result is the outcome of a request at an upstream.
 type Result struct {
-	// Failed counts against the upstream: it was unreachable, fell silent or
-	// broke off.
+	// Failed counts as a failure of the upstream: it was unreachable, stopped
+	// responding or closed the connection early.
 	Failed bool
-	// Load is what the upstream reported with its answer; negative for nothing.
+	// Load is the load that the upstream reported with its answer; negative if it
+	// reported none.
 	Load float64
 }
 
-// Done gives the place back and reports whether the upstream has just become
-// one to be avoided.
+// Done releases the lease and reports whether the upstream is avoided from this
+// failure on.
 func (l *Lease) Done(r Result) (avoiding bool) {
 	p := l.pool
 	p.mu.Lock()
@@ -281,18 +287,18 @@
 	u := l.state
 	u.inFlight--
 	p.inFlight--
-	p.report(u, r.Load)
+	p.recordLoad(u, r.Load)
 	if r.Failed {
-		u.failures++
-		u.avoidUntil = p.now().Add(avoidFor)
-		avoiding = u.failures == failuresBeforeAvoiding
+		u.consecutiveFailures++
+		u.avoidUntil = p.now().Add(avoidInterval)
+		avoiding = u.consecutiveFailures == avoidAfterFailures
 	} else {
-		u.failures = 0
-		took := p.now().Sub(l.started)
-		p.service = smoothed(p.service, took)
-		u.service = smoothed(u.service, took)
+		u.consecutiveFailures = 0
+		serviceTime := p.now().Sub(l.started)
+		p.serviceTime = smoothed(p.serviceTime, serviceTime)
+		u.serviceTime = smoothed(u.serviceTime, serviceTime)
 	}
-	p.wake()
+	p.grantLeases()
 	return avoiding
 }
 
@@ -300,43 +306,44 @@
 	if value == 0 {
 		return newest
 	}
-	return value + time.Duration(serviceSmoothing*float64(newest-value))
+	return value + time.Duration(serviceTimeSmoothing*float64(newest-value))
 }
 
 // Upstreams returns the upstreams that may be chosen.
 func (p *Pool) Upstreams() []document.Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]document.Upstream, 0, len(p.states))
-	for _, u := range p.states {
+	out := make([]document.Upstream, 0, len(p.available))
+	for _, u := range p.available {
 		out = append(out, u.upstream)
 	}
 	return out
 }
 
-// Report takes an upstream's reported load; negative for none.
+// ReportLoad records the load that an upstream reported; a negative one is ignored.
 func (p *Pool) Report(upstream string, load float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if u := p.byName[upstream]; u != nil {
-		p.report(u, load)
+		p.recordLoad(u, load)
 	}
 }
 
-func (p *Pool) report(u *upstreamState, load float64) {
+func (p *Pool) recordLoad(u *upstreamState, load float64) {
 	if load >= 0 {
-		u.load, u.loadAt, u.sinceLoad = load, p.now(), 0
+		u.reportedLoad, u.reportedAt, u.sentSinceReport = load, p.now(), 0
 	}
 }
 
-// Report takes the load that came with the head of an answer.
+// ReportLoad records the load that the upstream reported in the header of its answer; a
+// negative one is ignored.
 func (l *Lease) Report(load float64) {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	l.pool.report(l.state, load)
+	l.pool.recordLoad(l.state, load)
 }
 
-// InFlight returns how many requests this instance has on the pool's upstreams.
+// InFlight returns the number of this instance's requests at the pool's upstreams.
 func (p *Pool) InFlight() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/dispatch/queue.go
+++ b/pkg/dispatch/queue.go
@@ -9,32 +9,33 @@
 // maxWaiting bounds the requests that wait for one pool at one instance.
 const maxWaiting = 512
 
-// leastRetryAfter is the least time after which a refused caller is asked back.
-const leastRetryAfter = time.Second
+// minRetryAfter is the shortest time after which a refused caller is told to retry.
+const minRetryAfter = time.Second
 
-// OverloadError refuses a request that could not start before its deadline.
+// OverloadError is the refusal of a request that cannot start before its deadline.
 type OverloadError struct {
-	// Step and Peer say where: "queue" and the pool.
+	// Step is "queue", Peer the name of the pool.
 	Step, Peer string
-	// Waiting is how many requests were before it.
+	// Waiting is the number of queued requests that precede a new one of its priority.
 	Waiting int
-	// RetryAfter is when there may be room.
+	// RetryAfter is the time after which there may be capacity.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *OverloadError) Error() string {
-	return fmt.Sprintf("%s: pool %s has %d requests waiting; come back in %v", e.Step, e.Peer, e.Waiting, e.RetryAfter)
+	return fmt.Sprintf("%s: pool %s has %d requests waiting; retry after %v", e.Step, e.Peer, e.Waiting, e.RetryAfter)
 }
 
-// waiter is one request that waits for a place. It gets nil if no upstream is left to serve it.
+// waiter is a queued request. It receives a lease on ready, or nil if no upstream is left
+// to serve it.
 type waiter struct {
 	ready  chan *Lease
 	prefix uint64
 	tried  []string
 }
 
-// waitList holds waiters, first come first served.
+// waitList is a queue of waiters in order of arrival.
 type waitList struct{ waiters []*waiter }
 
 func (l *waitList) remove(w *waiter) bool {
@@ -47,118 +48,120 @@
 	return false
 }
 
-// Want describes a request that wants a place.
+// Request describes a request to be dispatched.
 type Want struct {
-	// Pool names the pool in errors.
+	// Pool is the name of the pool for error messages.
 	Pool string
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
-	// Urgent requests are served before others.
+	// Urgent requests are started before others.
 	Urgent bool
-	// Tried names upstreams to pass over.
+	// Tried lists the names of the upstreams to exclude.
 	Tried []string
-	// StartBy is the latest time to start.
+	// StartBy is the time by which the request must start.
 	StartBy time.Time
 }
 
-// Acquire returns a place on an upstream, waiting for one if need be. A request
-// that cannot be expected to start in time is refused at once. Errors:
-// *OverloadError, or the context's.
-func (p *Pool) Acquire(ctx context.Context, want Want) (*Lease, error) {
-	w, lease, err := p.enter(want)
+// Acquire returns a lease on an upstream, and waits for one if necessary. A request
+// that is not expected to start in time is refused immediately. The error is an
+// *OverloadError or that of the context.
+func (p *Pool) Acquire(ctx context.Context, req Want) (*Lease, error) {
+	w, lease, err := p.tryAcquire(req)
 	if err != nil || lease != nil {
 		return lease, err
 	}
-	timer := time.NewTimer(want.StartBy.Sub(p.now()))
+	timer := time.NewTimer(req.StartBy.Sub(p.now()))
 	defer timer.Stop()
 	select {
 	case lease := <-w.ready:
 		if lease == nil {
-			return nil, p.overload(want)
+			return nil, p.overloadError(req)
 		}
 		return lease, nil
 	case <-ctx.Done():
-		return nil, p.abandon(want, w, ctx.Err())
+		return nil, p.cancelWait(req, w, ctx.Err())
 	case <-timer.C:
-		return nil, p.abandon(want, w, p.overload(want))
+		return nil, p.cancelWait(req, w, p.overloadError(req))
 	}
 }
 
-func (p *Pool) enter(want Want) (*waiter, *Lease, error) {
+func (p *Pool) tryAcquire(req Want) (*waiter, *Lease, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if u := p.pick(want.Prefix, want.Tried); u != nil {
-		return nil, p.lease(u), nil
+	if u := p.pick(req.Prefix, req.Tried); u != nil {
+		return nil, p.newLease(u), nil
 	}
-	if p.hopeless(want) {
-		return nil, nil, p.overloadError(want)
+	if p.cannotStartInTime(req) {
+		return nil, nil, p.overloadErrorLocked(req)
 	}
-	w := &waiter{ready: make(chan *Lease, 1), prefix: want.Prefix, tried: want.Tried}
-	list := p.listOf(want.Urgent)
+	w := &waiter{ready: make(chan *Lease, 1), prefix: req.Prefix, tried: req.Tried}
+	list := p.waitListFor(req.Urgent)
 	list.waiters = append(list.waiters, w)
 	return w, nil, nil
 }
 
-// refuseWaiting refuses all that wait; p.mu is held.
-func (p *Pool) refuseWaiting() {
-	for n := range p.waiting {
-		for _, w := range p.waiting[n].waiters {
+// refuseWaiters refuses all queued requests. The caller holds p.mu.
+func (p *Pool) refuseWaiters() {
+	for n := range p.waitLists {
+		for _, w := range p.waitLists[n].waiters {
 			w.ready <- nil
 		}
-		p.waiting[n].waiters = nil
+		p.waitLists[n].waiters = nil
 	}
 }
 
-func (p *Pool) listOf(urgent bool) *waitList {
+func (p *Pool) waitListFor(urgent bool) *waitList {
 	if urgent {
-		return &p.waiting[0]
+		return &p.waitLists[0]
 	}
-	return &p.waiting[1]
+	return &p.waitLists[1]
 }
 
-// hopeless reports that a request has no prospect of starting in time: too many
-// wait, nothing else could serve it, or the queue moves too slowly.
-func (p *Pool) hopeless(want Want) bool {
-	if p.ahead(want.Urgent) >= maxWaiting || len(p.states) <= len(want.Tried) {
+// cannotStartInTime reports whether the request is not expected to start in time:
+// too many requests are queued, it was tried at as many upstreams as are available,
+// or the queue drains too slowly.
+func (p *Pool) cannotStartInTime(req Want) bool {
+	if p.numAhead(req.Urgent) >= maxWaiting || len(p.available) <= len(req.Tried) {
 		return true
 	}
-	return p.now().Add(p.expectedWait(want.Urgent)).After(want.StartBy)
+	return p.now().Add(p.expectedWait(req.Urgent)).After(req.StartBy)
 }
 
-func (p *Pool) ahead(urgent bool) int {
-	ahead := len(p.waiting[0].waiters)
+func (p *Pool) numAhead(urgent bool) int {
+	numAhead := len(p.waitLists[0].waiters)
 	if !urgent {
-		ahead += len(p.waiting[1].waiters)
+		numAhead += len(p.waitLists[1].waiters)
 	}
-	return ahead
+	return numAhead
 }
 
-// expectedWait is how long the queue before a request takes with every place
-// of the pool working.
+// expectedWait estimates how long a new request waits for the requests queued before
+// it, with the pool at full concurrency.
 func (p *Pool) expectedWait(urgent bool) time.Duration {
-	places := max(len(p.states)*p.limit, 1)
-	return time.Duration(float64(p.service) * float64(p.ahead(urgent)) / float64(places))
+	capacity := max(len(p.available)*p.maxConcurrent, 1)
+	return time.Duration(float64(p.serviceTime) * float64(p.numAhead(urgent)) / float64(capacity))
 }
 
-func (p *Pool) overload(want Want) error {
+func (p *Pool) overloadError(req Want) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.overloadError(want)
+	return p.overloadErrorLocked(req)
 }
 
-func (p *Pool) overloadError(want Want) error {
+func (p *Pool) overloadErrorLocked(req Want) error {
 	return &OverloadError{
 		Step:       "queue",
-		Peer:       want.Pool,
-		Waiting:    p.ahead(want.Urgent),
-		RetryAfter: max(p.expectedWait(want.Urgent), leastRetryAfter),
+		Peer:       req.Pool,
+		Waiting:    p.numAhead(req.Urgent),
+		RetryAfter: max(p.expectedWait(req.Urgent), minRetryAfter),
 	}
 }
 
-// abandon takes a waiter out. A place that was given to it meanwhile goes back.
-func (p *Pool) abandon(want Want, w *waiter, cause error) error {
+// cancelWait removes a waiter from its queue and returns cause. If the waiter was granted
+// a lease in the meantime, cancelWait releases it.
+func (p *Pool) cancelWait(req Want, w *waiter, cause error) error {
 	p.mu.Lock()
-	removed := p.listOf(want.Urgent).remove(w)
+	removed := p.waitListFor(req.Urgent).remove(w)
 	p.mu.Unlock()
 	if !removed {
 		if lease := <-w.ready; lease != nil {
@@ -168,22 +171,23 @@
 	return cause
 }
 
-// wake gives places to waiters while there are any; p.mu is held.
-func (p *Pool) wake() {
-	for i := range p.waiting {
-		p.wakeList(&p.waiting[i])
+// grantLeases grants leases to waiters, urgent ones first, while upstreams can take
+// requests. The caller holds p.mu.
+func (p *Pool) grantLeases() {
+	for i := range p.waitLists {
+		p.grantLeasesTo(&p.waitLists[i])
 	}
 }
 
-func (p *Pool) wakeList(list *waitList) {
-	kept := list.waiters[:0]
+func (p *Pool) grantLeasesTo(list *waitList) {
+	remaining := list.waiters[:0]
 	for _, w := range list.waiters {
 		u := p.pick(w.prefix, w.tried)
 		if u == nil {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 			continue
 		}
-		w.ready <- p.lease(u)
+		w.ready <- p.newLease(u)
 	}
-	list.waiters = kept
+	list.waiters = remaining
 }
--- a/pkg/placement/longprompt.go
+++ b/pkg/placement/longprompt.go
@@ -47,8 +47,8 @@
 	// prompt counts as long; maxAnswersPerInstance caps the weight of one instance's answers.
 	minAnswers            = 20
 	maxAnswersPerInstance = 200
-	// peerStatsTTL is how long the statistics of another instance are used.
-	peerStatsTTL = time.Minute
+	// peerStatsLifetime is how long the statistics of another instance are used.
+	peerStatsLifetime = time.Minute
 )
 
 // PrefillStats are an instance's statistics of how fast a service's engines prefill prompts,
@@ -103,7 +103,7 @@
 	r.peers[peer] = peerStats{Reading: stats, receivedAt: now}
 	r.peerAnswers, r.peerWeightedRate, r.peerTotal, r.peerLong = 0, 0, 0, 0
 	for name, other := range r.peers {
-		if now.Sub(other.receivedAt) > peerStatsTTL {
+		if now.Sub(other.receivedAt) > peerStatsLifetime {
 			delete(r.peers, name)
 			continue
 		}
--- a/pkg/placement/pool.go
+++ b/pkg/placement/pool.go
@@ -24,9 +24,9 @@
 	// otherDomainCost is the cost of an engine in another failure domain. Traffic between
 	// domains costs money, but less than prefilling a shared part again.
 	otherDomainCost = 600
-	// cacheTTL is how long a prompt part is assumed to stay in an engine's cache
+	// cachedPartLifetime is how long a prompt part is assumed to stay in an engine's cache
 	// after this instance sent it there.
-	cacheTTL = 8 * time.Second
+	cachedPartLifetime = 8 * time.Second
 	// homeCachedShare is the share of a session's shared parts that its home engine is
 	// assumed to hold in its cache because all instances send the session there.
 	homeCachedShare = 0.9
@@ -304,7 +304,7 @@
 	var cached int64
 	for i := 0; i < len(req.Parts)-1; i++ {
 		sent, found := s.partSentAt[req.Parts[i].ID]
-		if !found || now.Sub(sent) > cacheTTL {
+		if !found || now.Sub(sent) > cachedPartLifetime {
 			break
 		}
 		cached += req.Parts[i].Tokens
@@ -339,7 +339,7 @@
 
 func (s *upstreamState) evictStaleParts(now time.Time) {
 	for id, sent := range s.partSentAt {
-		if now.Sub(sent) > cacheTTL {
+		if now.Sub(sent) > cachedPartLifetime {
 			delete(s.partSentAt, id)
 		}
 	}
