--- a/pkg/emulator/engine.go
+++ b/pkg/emulator/engine.go
@@ -1,29 +1,31 @@
-// Package emulator plays model engines in virtual time, without network and without a wall
-// clock, so that decisions on where requests go can be tested under load. One seed always
-// plays the same.
+// Package emulator simulates model engines in virtual time, without network or wall clock, so
+// that the choice of upstreams can be tested under load. The same inputs always give the same
+// results.
 package emulator
 
 import "time"
 
-// EngineConfig is the figures of an engine, as deployments publish them.
+// EngineConfig holds the performance figures of an engine, as deployments publish them.
 type EngineConfig struct {
-	// Slots is how many requests run at once; others wait.
-	Slots int
-	// Step is a step's least time; each running request adds PerContext for each 1,000
-	// tokens of its context.
-	Step, PerContext time.Duration
-	// ReadPerMs is how many prompt tokens are read in a millisecond at a prompt's beginning.
-	// Each pair of a token read and one before it adds to that: PairsPerM is the time for a
-	// million of them.
-	ReadPerMs float64
-	PairsPerM time.Duration
-	// Chunk is the most prompt tokens read in one step, Stride the tokens in one event.
-	Chunk, Stride int64
-	// CacheTokens is how many tokens of shared parts are kept, the last used ones.
+	// MaxRunning is the number of requests that run at once; others wait.
+	MaxRunning int
+	// MinStepTime is the duration of a step without context. Each running request adds
+	// StepTimePerKToken for each 1,000 tokens of its context.
+	MinStepTime, StepTimePerKToken time.Duration
+	// PrefillTokensPerMs is the number of prompt tokens prefilled in a millisecond at the start
+	// of a prompt. Each pair of a prefilled token and one before it takes additional time:
+	// TimePerMPairs is the time for a million pairs.
+	PrefillTokensPerMs float64
+	TimePerMPairs      time.Duration
+	// MaxChunkTokens is the most prompt tokens prefilled in one step, TokensPerEvent the number
+	// of output tokens in one event.
+	MaxChunkTokens, TokensPerEvent int64
+	// CacheTokens is the number of tokens of shared parts that the cache holds. The least
+	// recently used parts are evicted first.
 	CacheTokens int64
 }
 
-// Part is a shared part of a prompt.
+// Part is a part of a prompt that several requests share.
 type Part struct {
 	ID     uint64
 	Tokens int64
@@ -31,65 +33,69 @@
 
 // Request is one request at an engine.
 type Request struct {
-	// Shared are the prompt's parts that others may have, in order; Prompt is the length of
-	// the whole, Events how many events its answer has.
-	Shared []Part
-	Prompt int64
-	Events int
-
-	// SentAt is when it came; FirstAfter how long its first event took, LongestPause the
-	// longest time between two. They are set as it runs.
-	SentAt                   time.Duration
-	FirstAfter, LongestPause time.Duration
-	// OnFirst, if set, is called at its first event, OnEnd at its end.
-	OnFirst, OnEnd func()
-
-	read, made int64
-	lastEvent  time.Duration
-	events     int
+	// SharedParts are the leading parts of the prompt that other requests may share, in order.
+	// PromptTokens is the length of the whole prompt, NumEvents the number of events in the
+	// answer.
+	SharedParts  []Part
+	PromptTokens int64
+	NumEvents    int
+
+	// SentAt is when the request was sent, TimeToFirstEvent the time from then to its first
+	// event, and LongestPause the longest time between two events. The simulation sets them.
+	SentAt                         time.Duration
+	TimeToFirstEvent, LongestPause time.Duration
+	// OnFirstEvent is called at the first event, OnEnd at the end of the answer, if they are
+	// not nil.
+	OnFirstEvent, OnEnd func()
+
+	prefilled, generated int64
+	lastEvent            time.Duration
+	emitted              int
 }
 
-// Engine batches requests continuously: in each step every request that has been read makes
-// a token, and one chunk of the first that has not is read.
+// Engine batches requests continuously: in each step, every running request whose prompt has
+// been prefilled generates a token, and one chunk of the first other running request is
+// prefilled.
 type Engine struct {
 	EngineConfig
-	// Read counts the prompt tokens that were read.
-	Read int64
+	// PrefilledTokens is the number of prompt tokens that the engine has prefilled.
+	PrefilledTokens int64
 
 	waiting, running []*Request
-	cache            []Part // the last used at the end
+	cache            []Part // least recently used first
 }
 
-// Load returns how many requests run and wait.
+// Load returns the numbers of running and waiting requests.
 func (e *Engine) Load() (running, waiting int) { return len(e.running), len(e.waiting) }
 
-// busy reports that there is something to do.
-func (e *Engine) busy() bool { return len(e.running)+len(e.waiting) > 0 }
+// hasWork reports whether any request is running or waiting.
+func (e *Engine) hasWork() bool { return len(e.running)+len(e.waiting) > 0 }
 
-// admit starts what waits while there are slots.
+// admit starts waiting requests while fewer than MaxRunning run.
 func (e *Engine) admit() {
-	for len(e.waiting) > 0 && len(e.running) < e.Slots {
+	for len(e.waiting) > 0 && len(e.running) < e.MaxRunning {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		r.read = min(e.cachedOf(r), r.Prompt-1)
+		r.prefilled = min(e.cachedTokens(r), r.PromptTokens-1)
 		e.running = append(e.running, r)
 	}
 }
 
-// cachedOf is how much of a prompt's beginning is kept here.
-func (e *Engine) cachedOf(r *Request) int64 {
-	var known int64
-	for _, part := range r.Shared {
-		if !e.touch(part.ID) {
+// cachedTokens returns the number of leading prompt tokens that are in the cache, and marks
+// their parts as used.
+func (e *Engine) cachedTokens(r *Request) int64 {
+	var cached int64
+	for _, part := range r.SharedParts {
+		if !e.useCached(part.ID) {
 			break
 		}
-		known += part.Tokens
+		cached += part.Tokens
 	}
-	return known
+	return cached
 }
 
-// touch makes a kept part the last used one, and reports whether it is kept.
-func (e *Engine) touch(id uint64) bool {
+// useCached reports whether the part is in the cache, and makes it the most recently used one.
+func (e *Engine) useCached(id uint64) bool {
 	for i, part := range e.cache {
 		if part.ID == id {
 			e.cache = append(append(e.cache[:i:i], e.cache[i+1:]...), part)
@@ -99,9 +105,9 @@
 	return false
 }
 
-func (e *Engine) keep(parts []Part) {
+func (e *Engine) addToCache(parts []Part) {
 	for _, part := range parts {
-		if !e.touch(part.ID) {
+		if !e.useCached(part.ID) {
 			e.cache = append(e.cache, part)
 		}
 	}
@@ -114,60 +120,61 @@
 	}
 }
 
-// step plans one step and returns how long it takes; its effects come with finish.
-func (e *Engine) step() (took time.Duration, reader *Request, chunk int64) {
+// planStep starts waiting requests and plans one step. It returns the duration of the step, the
+// request to prefill, or nil, and the tokens to prefill for it. finishStep applies the step.
+func (e *Engine) planStep() (duration time.Duration, prefilling *Request, chunk int64) {
 	e.admit()
-	took = e.Step
-	var context int64
+	duration = e.MinStepTime
+	var contextTokens int64
 	for _, r := range e.running {
-		context += r.read + r.made
-		if reader == nil && r.read < r.Prompt {
-			reader = r
+		contextTokens += r.prefilled + r.generated
+		if prefilling == nil && r.prefilled < r.PromptTokens {
+			prefilling = r
 		}
 	}
-	took += time.Duration(float64(e.PerContext) * float64(context) / 1000)
-	if reader == nil {
-		return took, nil, 0
+	duration += time.Duration(float64(e.StepTimePerKToken) * float64(contextTokens) / 1000)
+	if prefilling == nil {
+		return duration, nil, 0
 	}
-	chunk = min(e.Chunk, reader.Prompt-reader.read)
-	took += time.Duration(float64(chunk) / e.ReadPerMs * float64(time.Millisecond))
-	pairs := float64(chunk) * (float64(reader.read) + float64(chunk)/2)
-	took += time.Duration(pairs / 1e6 * float64(e.PairsPerM))
-	return took, reader, chunk
+	chunk = min(e.MaxChunkTokens, prefilling.PromptTokens-prefilling.prefilled)
+	duration += time.Duration(float64(chunk) / e.PrefillTokensPerMs * float64(time.Millisecond))
+	pairs := float64(chunk) * (float64(prefilling.prefilled) + float64(chunk)/2)
+	duration += time.Duration(pairs / 1e6 * float64(e.TimePerMPairs))
+	return duration, prefilling, chunk
 }
 
-// finish applies a step that ended at a time.
-func (e *Engine) finish(now time.Duration, reader *Request, chunk int64) {
-	left := e.running[:0]
+// finishStep applies a step that ends now.
+func (e *Engine) finishStep(now time.Duration, prefilling *Request, chunk int64) {
+	unfinished := e.running[:0]
 	for _, r := range e.running {
-		if r == reader {
-			r.read += chunk
-			e.Read += chunk
-			if r.read == r.Prompt {
-				e.keep(r.Shared)
+		if r == prefilling {
+			r.prefilled += chunk
+			e.PrefilledTokens += chunk
+			if r.prefilled == r.PromptTokens {
+				e.addToCache(r.SharedParts)
 			}
 		}
-		if r.read == r.Prompt {
-			r.made++
-			if r.made%e.Stride == 0 {
-				r.event(now)
+		if r.prefilled == r.PromptTokens {
+			r.generated++
+			if r.generated%e.TokensPerEvent == 0 {
+				r.emitEvent(now)
 			}
 		}
-		if r.events < r.Events {
-			left = append(left, r)
+		if r.emitted < r.NumEvents {
+			unfinished = append(unfinished, r)
 		} else if r.OnEnd != nil {
 			r.OnEnd()
 		}
 	}
-	e.running = left
+	e.running = unfinished
 }
 
-func (r *Request) event(now time.Duration) {
-	r.events++
-	if r.events == 1 {
-		r.FirstAfter = now - r.SentAt
-		if r.OnFirst != nil {
-			r.OnFirst()
+func (r *Request) emitEvent(now time.Duration) {
+	r.emitted++
+	if r.emitted == 1 {
+		r.TimeToFirstEvent = now - r.SentAt
+		if r.OnFirstEvent != nil {
+			r.OnFirstEvent()
 		}
 	} else {
 		r.LongestPause = max(r.LongestPause, now-r.lastEvent)
--- a/pkg/emulator/engine_test.go
+++ b/pkg/emulator/engine_test.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-var testEngine = EngineConfig{
-	Slots: 64, Step: 4230 * time.Microsecond, PerContext: 9 * time.Microsecond,
-	ReadPerMs: 64.2, PairsPerM: 647 * time.Microsecond, Chunk: 2048, Stride: 5, CacheTokens: 490_000,
+var testConfig = EngineConfig{
+	MaxRunning: 64, MinStepTime: 4230 * time.Microsecond, StepTimePerKToken: 9 * time.Microsecond,
+	PrefillTokensPerMs: 64.2, TimePerMPairs: 647 * time.Microsecond, MaxChunkTokens: 2048,
+	TokensPerEvent: 5, CacheTokens: 490_000,
 }
 
-// A short question's stream runs when a prompt of 50,000 tokens comes to its engine. Five of
-// its steps are as long as the chunks that are read in them, so that the pause between two
-// events grows beyond 300 ms; beside a prompt of 10,000 tokens it does not.
+// The stream of a short question runs when a prompt of 50,000 tokens arrives at its engine.
+// The five steps of one of its events take as long as the chunks prefilled in them, so the
+// pause between two events exceeds 300 ms. With a prompt of 10,000 tokens it does not.
 func TestLongPromptHoldsUpStreams(t *testing.T) {
 	for _, c := range []struct {
 		prompt int64
 		late   bool
 	}{{10_000, false}, {50_000, true}} {
-		w, e := &World{}, &Engine{EngineConfig: testEngine}
-		short := &Request{Prompt: 800, Events: 60}
-		w.At(0, func() { w.Send(e, short) })
-		w.At(100*time.Millisecond, func() { w.Send(e, &Request{Prompt: c.prompt, Events: 10}) })
-		w.Run()
+		s, e := &World{}, &Engine{EngineConfig: testConfig}
+		short := &Request{PromptTokens: 800, NumEvents: 60}
+		s.At(0, func() { s.Send(e, short) })
+		s.At(100*time.Millisecond, func() { s.Send(e, &Request{PromptTokens: c.prompt, NumEvents: 10}) })
+		s.Run()
 		if late := short.LongestPause > 300*time.Millisecond; late != c.late {
-			t.Errorf("beside %d tokens the longest pause is %s", c.prompt, short.LongestPause)
+			t.Errorf("with a prompt of %d tokens, the longest pause of the other stream is %s", c.prompt, short.LongestPause)
 		}
 	}
 }
 
-// Two requests of one conversation follow each other: the second reads only what is its own.
+// Two requests of one conversation follow each other. The engine must prefill only the second
+// request's own part.
 func TestSharedPartsAreReadOnce(t *testing.T) {
-	w, e := &World{}, &Engine{EngineConfig: testEngine}
+	s, e := &World{}, &Engine{EngineConfig: testConfig}
 	shared := []Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 4000}}
 	for n := range 2 {
-		w.At(time.Duration(n)*time.Second, func() { w.Send(e, &Request{Shared: shared, Prompt: 6000, Events: 2}) })
+		s.At(time.Duration(n)*time.Second, func() { s.Send(e, &Request{SharedParts: shared, PromptTokens: 6000, NumEvents: 2}) })
 	}
-	w.Run()
-	if e.Read != 6000+1500 {
-		t.Errorf("%d tokens were read", e.Read)
+	s.Run()
+	if e.PrefilledTokens != 6000+1500 {
+		t.Errorf("the engine prefilled %d tokens, want 7500", e.PrefilledTokens)
 	}
 }
--- a/pkg/placement/longprompt_test.go
+++ b/pkg/placement/longprompt_test.go
@@ -32,8 +32,9 @@
 }
 
 var engineConfig = emulator.EngineConfig{
-	Slots: 64, Step: 4230 * time.Microsecond, PerContext: 9 * time.Microsecond,
-	ReadPerMs: 64.2, PairsPerM: 647 * time.Microsecond, Chunk: 2048, Stride: 5, CacheTokens: 490_000,
+	MaxRunning: 64, MinStepTime: 4230 * time.Microsecond, StepTimePerKToken: 9 * time.Microsecond,
+	PrefillTokensPerMs: 64.2, TimePerMPairs: 647 * time.Microsecond, MaxChunkTokens: 2048,
+	TokensPerEvent: 5, CacheTokens: 490_000,
 }
 
 // simulation runs engines and the instances that choose among them, and counts late streams.
@@ -124,7 +125,7 @@
 		req.PromptTokens += part.Tokens
 	}
 	if l.dedicated {
-		req.Pause, req.TokensPerEvent = k.maxPause, engineConfig.Stride
+		req.Pause, req.TokensPerEvent = k.maxPause, engineConfig.TokensPerEvent
 	}
 	instance := max(l.rng.IntN(10)-6, 0) // seven of ten requests arrive at the first instance
 	l.start(k, req, l.pools[instance%numInstances].Choose(req))
@@ -132,11 +133,11 @@
 
 func (l *simulation) start(k requestKind, req *placement.Want, lease *placement.Place) {
 	engine := l.engines[lease.ID]
-	r := &emulator.Request{Prompt: req.PromptTokens, Events: k.events}
+	r := &emulator.Request{PromptTokens: req.PromptTokens, NumEvents: k.events}
 	for _, part := range req.Parts[:2] {
-		r.Shared = append(r.Shared, emulator.Part(part))
+		r.SharedParts = append(r.SharedParts, emulator.Part(part))
 	}
-	r.OnFirst = func() {
+	r.OnFirstEvent = func() {
 		lease.Report(engine.Load())
 		lease.FirstEvent()
 	}
@@ -144,7 +145,7 @@
 		lease.Done(placement.Succeeded)
 		long := req.PromptTokens > longTokens
 		l.total[long]++
-		if r.FirstAfter > k.objective || r.LongestPause > k.maxPause {
+		if r.TimeToFirstEvent > k.objective || r.LongestPause > k.maxPause {
 			l.late[long]++
 		}
 	}
