--- a/pkg/routing/config.go
+++ b/pkg/routing/config.go
@@ -1,66 +1,67 @@
-// Package routing holds the configuration that requests are routed by, and finds
-// the route, the upstream service and the client account of a request in it.
+// Package routing holds the routing configuration, and looks up the route, the
+// upstream service and the client account of a request in it.
 package routing
 
 import "time"
 
-// Kind says what may be repeated on a route.
+// Kind states whether requests of a route may be repeated.
 type Kind string
 
 // The kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// Once requests run at most once for each sending of the client.
+	// Once requests run at most once each time that the client sends them.
 	Once Kind = "once"
-	// Stream requests are answered by events; they run at most once unless the
-	// route is resumable.
+	// Stream requests are answered by a stream of events. They run at most once unless
+	// the route is resumable.
 	Stream Kind = "stream"
 )
 
-// Config is one version of the configuration. It is never changed once made.
+// Config is one version of the configuration. It is immutable.
 type Config struct {
-	// Version rises with each change; a lower one never replaces a higher one.
+	// Version increases with each change. A lower version never replaces a higher one.
 	Version  uint64    `json:"version"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Limits   Limits    `json:"limits"`
 	Accounts []Account `json:"accounts"`
-	// Keyed says that requests need an account's key, except on public routes.
+	// KeyRequired reports whether requests need the key of an account, except on public
+	// routes.
 	Keyed bool `json:"keyed"`
 }
 
-// Route sends the requests of a host below a path to a service.
+// Route directs the requests for a host and path prefix to services.
 type Route struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
 	// Prefix begins and ends with a slash.
 	Prefix string `json:"prefix"`
 	Kind   Kind   `json:"kind"`
-	// Timeout is the longest that a client is kept waiting.
+	// Timeout is the longest time that a client is kept waiting.
 	Timeout time.Duration `json:"timeout"`
-	// Objective is the time within which an answer is on time.
+	// Objective is the target for the time to the answer: later answers count as late.
 	Objective time.Duration `json:"objective"`
-	// Pause is the longest pause between two events that is on time.
+	// MaxPause is the longest pause between two events of a stream that counts as on time.
 	Pause time.Duration `json:"pause"`
-	// MaxAttempts is how many upstreams one request may be sent to.
+	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int `json:"max_attempts"`
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority is the priority of requests; 0 is the most urgent.
 	Priority int `json:"priority"`
 	// Public routes need no key.
 	Public bool `json:"public"`
-	// Resumable streams may go on at another upstream after an event's id.
+	// Resumable streams may continue at another upstream after the id of an event.
 	Resumable bool `json:"resumable"`
-	// Targets are the services that share the route's requests.
+	// Targets are the services among which the route's requests are divided.
 	Targets []Target `json:"targets"`
 }
 
-// Repeatable reports that a request may be sent again after it may have run.
+// Repeatable reports whether a request that may have run may be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Target is one service's share of a route.
+// Target is a service's share of the requests of a route, in proportion to Weight.
 type Target struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
@@ -69,27 +70,29 @@
 // Service is a group of upstreams that serve the same requests.
 type Service struct {
 	Name string `json:"name"`
-	// MaxConnections is what one upstream accepts from all callers together.
+	// MaxConnections is the number of connections that one upstream accepts from all callers
+	// together.
 	MaxConnections int `json:"max_connections"`
 	// Engine describes model engines; nil for plain services.
 	Engine *Engine `json:"engine,omitempty"`
-	// ColdPerSecond is how many requests an upstream that has just started takes in a second, from
-	// all instances together, before it crashes; 0 for no bound. ColdFor is for how long.
+	// ColdPerSecond is the number of requests in a second, from all instances together, that an upstream
+	// survives while it is cold, that is, has just started; 0 for no bound. ColdDuration is how long it
+	// is cold.
 	ColdPerSecond float64       `json:"cold_per_second,omitempty"`
 	ColdFor       time.Duration `json:"cold_for,omitempty"`
 }
 
-// Engine is what is known of a service's model engines.
+// Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs at once.
 	Slots int `json:"slots"`
-	// MemoryTokens is how many tokens an engine's cache holds.
+	// MemoryTokens is the number of tokens that an engine's cache holds.
 	MemoryTokens int64 `json:"memory_tokens"`
-	// TokensPerEvent is how many output tokens one event may hold.
+	// TokensPerEvent is the maximum number of output tokens in one event.
 	TokensPerEvent int64 `json:"tokens_per_event"`
 }
 
-// Limits bound what clients may send.
+// Limits bound the size and duration of requests from clients.
 type Limits struct {
 	HeaderBytes   int           `json:"header_bytes"`
 	BodyBytes     int           `json:"body_bytes"`
@@ -97,12 +100,13 @@
 	IdleTimeout   time.Duration `json:"idle_timeout"`
 }
 
-// Account is a client account.
+// Account is a client account, identified by any of its keys.
 type Account struct {
 	Name string   `json:"name"`
 	Keys []string `json:"keys"`
-	// Priority takes precedence over the route's; negative for none.
+	// Priority overrides that of the route; negative for none.
 	Priority int `json:"priority"`
-	// PrepaidTokens is the total that it may consume; negative for no bound.
+	// PrepaidTokens is the total number of tokens that the account may consume; negative for no
+	// bound.
 	PrepaidTokens int64 `json:"prepaid_tokens"`
 }
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -10,17 +10,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table answers look-ups in one version of the configuration.
+// Table is an index of one version of the configuration.
 type Table struct {
 	Config *Config
-	// Since is when this process brought the version into force.
+	// Since is when this process put the version into force.
 	Since time.Time
 
 	byHost   map[string][]*Route // longest prefix first
 	byKey    map[string]*Account
 	services map[string]*Service
-	// firstRank is the most urgent rank of the streams that go to a service.
-	firstRank map[string]int
+	// minPriority is the lowest, that is most urgent, priority of the stream routes to a
+	// service, by its name.
+	minPriority map[string]int
 }
 
 // NewTable indexes a configuration.
@@ -32,13 +33,13 @@
 		byKey:    map[string]*Account{},
 		services: map[string]*Service{},
 
-		firstRank: map[string]int{},
+		minPriority: map[string]int{},
 	}
 	for i := range config.Routes {
 		route := &config.Routes[i]
 		t.byHost[route.Host] = append(t.byHost[route.Host], route)
 	}
-	t.rankRoutes()
+	t.indexPriorities()
 	for _, routes := range t.byHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
@@ -54,31 +55,32 @@
 	return t
 }
 
-func (t *Table) rankRoutes() {
+func (t *Table) indexPriorities() {
 	for i := range t.Config.Routes {
 		route := &t.Config.Routes[i]
 		if route.Kind != Stream {
 			continue
 		}
 		for _, target := range route.Targets {
-			if first, known := t.firstRank[target.Service]; !known || route.Priority < first {
-				t.firstRank[target.Service] = route.Priority
+			if lowest, found := t.minPriority[target.Service]; !found || route.Priority < lowest {
+				t.minPriority[target.Service] = route.Priority
 			}
 		}
 	}
 }
 
-// Urgent reports that no stream to any service of the route ranks before it.
+// Urgent reports whether no stream route to any service of the route is more urgent.
 func (t *Table) Urgent(route *Route) bool {
 	for _, target := range route.Targets {
-		if first, known := t.firstRank[target.Service]; known && route.Priority > first {
+		if lowest, found := t.minPriority[target.Service]; found && route.Priority > lowest {
 			return false
 		}
 	}
 	return true
 }
 
-// Route returns the route of the longest prefix that begins the path, or nil.
+// Route returns the host's route with the longest prefix of the path, or nil. A port in host is
+// ignored.
 func (t *Table) Route(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -91,14 +93,15 @@
 	return nil
 }
 
-// Account returns the account that holds a key, or nil.
+// Account returns the account of a key, or nil.
 func (t *Table) Account(key string) *Account { return t.byKey[key] }
 
-// Service returns a service by name, or nil.
+// Service returns the named service, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Target returns the service for a request by its id, so that a request's every
-// attempt goes to one service; empty if the route has none.
+// SelectService returns the name of the service for the request with the id, or "" if the
+// route has none. Within one version of the configuration it depends on the id alone, so that
+// all attempts of a request go to the same service.
 func (r *Route) Target(id string) string {
 	total := 0
 	for _, target := range r.Targets {
@@ -125,17 +128,17 @@
 // Table returns the table in force, or nil before the first one.
 func (s *State) Table() *Table { return s.table.Load() }
 
-// Apply brings a configuration into force if its version is higher than the one
-// in force, and reports whether it did. Late answers, stale reads and peers may
-// bring older versions at any time; none of them moves anything back.
+// Apply puts a configuration into force if its version is higher than the one in
+// force, and reports whether it did. Late answers, stale reads and peers may deliver
+// older versions at any time; these are ignored.
 func (s *State) Apply(config *Config, now time.Time) bool {
 	next := NewTable(config, now)
 	for {
-		present := s.table.Load()
-		if present != nil && present.Config.Version >= config.Version {
+		current := s.table.Load()
+		if current != nil && current.Config.Version >= config.Version {
 			return false
 		}
-		if s.table.CompareAndSwap(present, next) {
+		if s.table.CompareAndSwap(current, next) {
 			return true
 		}
 	}
--- a/pkg/routing/table_test.go
+++ b/pkg/routing/table_test.go
@@ -34,39 +34,40 @@
 				name = route.Name
 			}
 			if name != c.route {
-				t.Errorf("got %q", name)
+				t.Errorf("route for %s%s is %q, want %q", c.host, c.path, name, c.route)
 			}
 		})
 	}
 }
 
-// All attempts of a request go to one service of a split, and the shares hold.
+// All attempts of a request must go to the same service of a split route, and the services'
+// shares must match their weights.
 func TestSplitBySendingAndWeight(t *testing.T) {
 	route := NewTable(testConfig(1), time.Time{}).Route("h.example", "/jobs/7")
 	counts := map[string]int{}
 	for n := range 10_000 {
 		first := route.Target(fmt.Sprint(n))
 		if again := route.Target(fmt.Sprint(n)); again != first {
-			t.Fatalf("one request has two services: %s and %s", first, again)
+			t.Fatalf("attempts of one request go to services %s and %s", first, again)
 		}
 		counts[first]++
 	}
 	if counts["t"] < 8_800 || counts["t"] > 9_200 {
-		t.Errorf("shares are %v", counts)
+		t.Errorf("%v of 10,000 requests by service, want about 9,000 to t", counts)
 	}
 }
 
-// Stale reads, peers and late watches bring older versions at any time. None of
-// them moves an instance back: callers would be refused what is allowed.
+// Stale reads, peers and late watches deliver older versions at any time. An instance must
+// never return to one: it would refuse requests that the newer version allows.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	var state State
 	for _, version := range []uint64{3, 2, 7, 7, 5, 9, 1} {
 		state.Apply(testConfig(version), time.Time{})
 	}
 	if got := state.Table().Config.Version; got != 9 {
-		t.Errorf("in force is %d", got)
+		t.Errorf("version %d is in force, want 9", got)
 	}
 	if state.Apply(testConfig(9), time.Time{}) {
-		t.Error("the same version counts as new")
+		t.Error("a configuration of the version in force was applied again")
 	}
 }
