--- a/pkg/placement/longprompt.go
+++ b/pkg/placement/longprompt.go
@@ -29,9 +29,9 @@
 	// objective for the first event does not work: all prompts of a deployment with shorter
 	// objectives counted as long, and its score fell from 0.95 to 0.57.
 	longPromptSteps = 9
-	// maxDedicatedDivisor bounds the engines dedicated to long prompts: all engines divided by
-	// it.
-	maxDedicatedDivisor = 3
+	// minEnginesPerDedicated bounds the engines dedicated to long prompts: at most one in so
+	// many.
+	minEnginesPerDedicated = 3
 	// dedicatedMargin is the ratio of the share of engines dedicated to long prompts to the
 	// share of prefill work that these cause. It exceeds 1 because a few large prompts collide
 	// at an engine more often than many small ones.
@@ -133,7 +133,7 @@
 		return 0
 	}
 	share := (r.ownLong + r.peerLong) / total
-	return min(int(math.Round(dedicatedMargin*float64(numEngines)*share)), numEngines/maxDedicatedDivisor)
+	return min(int(math.Round(dedicatedMargin*float64(numEngines)*share)), numEngines/minEnginesPerDedicated)
 }
 
 // PrefillStats returns this instance's own statistics, to be sent to its peers.
--- a/pkg/placement/pool.go
+++ b/pkg/placement/pool.go
@@ -37,8 +37,8 @@
 	// plainOtherDomainCost is the cost of an upstream in another failure domain. It is small
 	// enough to prefer the instance's own domain only while that has capacity.
 	plainOtherDomainCost = 0.3
-	// failureRateCost is the cost of an upstream at which every request fails; for engines
-	// it multiplies the cost.
+	// failureRateCost is added to the cost of an upstream at which every request fails. The
+	// cost of such an engine is multiplied by 1 + failureRateCost instead.
 	failureRateCost = 20
 )
 
