--- a/pkg/meeting/meeting.go
+++ b/pkg/meeting/meeting.go
@@ -67,7 +67,7 @@
 	// Join makes this instance known at an address and learns whom that instance knows.
 	Join(ctx context.Context, address string) error
 	// Agreed reports whether other instances have shown the same members.
-	Agreed() bool
+	Converged() bool
 }
 
 // Deps is what a meeting works with.
@@ -98,7 +98,7 @@
 
 // Joined reports whether the others are known.
 func (m *Meeting) Joined() bool {
-	if m.nobody.Load() || m.Gossip.Agreed() {
+	if m.nobody.Load() || m.Gossip.Converged() {
 		return true
 	}
 	first := m.first.Load()
--- a/pkg/member/fleet_test.go
+++ b/pkg/member/fleet_test.go
@@ -14,37 +14,38 @@
 	"github.com/lavenderring/lavenderring/pkg/member/memberpb"
 )
 
-// Figures of the fleets in these tests.
+// Parameters of the simulated fleets.
 const (
 	messageTime = 2 * time.Millisecond
-	// lateTime is what small instances, a tenth of the fleet, take to answer; one answer of
-	// theirs in fifty takes longer than anybody waits.
-	lateTime = 300 * time.Millisecond
-	// patience is how long a heartbeat is waited for, probePatience how long a probe is.
-	patience      = 500 * time.Millisecond
-	probePatience = 400 * time.Millisecond
-	// controlBytes is what control may cost an instance on its smallest link, a second.
-	controlBytes = 23_000
+	// slowResponseTime is how long slow nodes, a tenth of the fleet, take to answer; one in fifty
+	// of their answers exceeds every timeout.
+	slowResponseTime = 300 * time.Millisecond
+	// heartbeatTimeout and probeTimeout bound the wait for an answer.
+	heartbeatTimeout = 500 * time.Millisecond
+	probeTimeout     = 400 * time.Millisecond
+	// maxControlBytesPerSecond is the control traffic that an instance on the smallest supported
+	// link can afford.
+	maxControlBytesPerSecond = 23_000
 )
 
-// simulation is a fleet in virtual time: one goroutine, one event after the other.
+// simulation is a discrete-event simulation of a fleet in virtual time, on one goroutine.
 type simulation struct {
 	now    time.Time
 	events events
 	random *rand.Rand
 	nodes  []*simNode
-	// lose is the share of messages that are lost.
-	lose float64
-	// late says that small instances answer late.
-	late bool
-	// parted tells whether two nodes cannot reach each other.
-	parted func(a, b *simNode) bool
+	// lossRate is the share of messages that are lost.
+	lossRate float64
+	// slowNodes makes every tenth node answer slowly.
+	slowNodes bool
+	// isPartitioned reports whether two nodes cannot reach each other.
+	isPartitioned func(a, b *simNode) bool
 }
 
 type simNode struct {
 	*Gossip
 	sim         *simulation
-	place       int
+	index       int
 	dead        bool
 	sent, bytes int
 }
@@ -80,27 +81,27 @@
 	s.now = end
 }
 
-// newSimulation starts a whole fleet within a tenth of a second; each knows three addresses.
+// newSimulation starts all nodes within a tenth of a second; each knows three addresses.
 func newSimulation(size int, seed uint64) *simulation {
 	s := &simulation{now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1))}
-	s.parted = func(a, b *simNode) bool { return false }
-	for place := range size {
-		s.start(place, 1)
+	s.isPartitioned = func(a, b *simNode) bool { return false }
+	for index := range size {
+		s.start(index, 1)
 	}
 	return s
 }
 
-// start starts a process at a place, with a number that rises with each start there.
-func (s *simulation) start(place, number int) {
-	self := memberOf(fmt.Sprintf("edge-%04d", place), fmt.Sprintf("01ARZ3NDEKTSV4RRFFQ69G5F%02d", number), fmt.Sprint("domain-", place%5))
-	self.PeerAddress = fmt.Sprintf("10.1.%d.%d:8522", place/256, place%256)
-	n := &simNode{sim: s, place: place}
+// start starts a process at an index, replacing the one there; number must increase with each start.
+func (s *simulation) start(index, number int) {
+	self := newMember(fmt.Sprintf("edge-%04d", index), fmt.Sprintf("01ARZ3NDEKTSV4RRFFQ69G5F%02d", number), fmt.Sprint("domain-", index%5))
+	self.PeerAddress = fmt.Sprintf("10.1.%d.%d:8522", index/256, index%256)
+	n := &simNode{sim: s, index: index}
 	n.Gossip = &Gossip{
-		Table: NewTable(Config{Self: self, Now: func() time.Time { return s.now }, Draw: s.random.IntN}),
+		Table: NewTable(Config{Self: self, Now: func() time.Time { return s.now }, RandIntN: s.random.IntN}),
 	}
-	if place < len(s.nodes) {
-		s.nodes[place].dead = true
-		s.nodes[place] = n
+	if index < len(s.nodes) {
+		s.nodes[index].dead = true
+		s.nodes[index] = n
 	} else {
 		s.nodes = append(s.nodes, n)
 	}
@@ -110,83 +111,83 @@
 func (n *simNode) join() {
 	joined := false
 	for seed := range 3 {
-		if seed != n.place && seed < len(n.sim.nodes) {
-			n.exchange(n.sim.nodes[seed], n.withTable(n.Digest("")), func() { joined = true }, func() {})
+		if seed != n.index && seed < len(n.sim.nodes) {
+			n.exchange(n.sim.nodes[seed], n.withFullTable(n.Digest("")), func() { joined = true }, func() {})
 		}
 	}
-	n.sim.after(patience, func() {
+	n.sim.after(heartbeatTimeout, func() {
 		if !joined && !n.dead && len(n.sim.nodes) > 1 {
 			n.join()
 		}
 	})
-	n.sim.after(time.Duration(n.sim.random.IntN(int(turnEvery))), n.turn)
+	n.sim.after(time.Duration(n.sim.random.IntN(int(protocolPeriod))), n.runPeriod)
 }
 
-func (n *simNode) turn() {
+func (n *simNode) runPeriod() {
 	if n.dead {
 		return
 	}
 	n.Table.expireSuspects()
-	for _, m := range n.Table.Due(!n.settled.Load()) {
-		to := n.sim.at(m)
+	for _, m := range n.Table.NextHeartbeats(!n.settled.Load()) {
+		to := n.sim.nodeOf(m)
 		answered := false
-		n.exchange(to, n.heartbeat(m.Incarnation), func() { answered = true }, func() {})
-		n.sim.after(askAfter, n.unlessDead(func() {
+		n.exchange(to, n.heartbeatDigest(m.Incarnation), func() { answered = true }, func() {})
+		n.sim.after(indirectProbeDelay, n.ifAlive(func() {
 			if !answered {
-				n.investigate(m)
+				n.runIndirectProbes(m)
 			}
 		}))
 	}
-	n.sim.after(turnEvery, n.turn)
+	n.sim.after(protocolPeriod, n.runPeriod)
 }
 
-// at returns the node at a member's address, whichever process runs there.
-func (s *simulation) at(m *memberpb.Member) *simNode {
-	var place int
-	_, _ = fmt.Sscanf(m.Name, "edge-%d", &place)
-	return s.nodes[place]
+// nodeOf returns the node at a member's address, whichever process runs there.
+func (s *simulation) nodeOf(m *memberpb.Member) *simNode {
+	var index int
+	_, _ = fmt.Sscanf(m.Name, "edge-%d", &index)
+	return s.nodes[index]
 }
 
-// reaches draws whether a message arrives, and how long it takes.
-func (s *simulation) reaches(from, to *simNode) (bool, time.Duration) {
-	if to.dead || s.parted(from, to) || s.random.Float64() < s.lose {
+// transmit draws whether a message arrives and its delay.
+func (s *simulation) transmit(from, to *simNode) (bool, time.Duration) {
+	if to.dead || s.isPartitioned(from, to) || s.random.Float64() < s.lossRate {
 		return false, 0
 	}
-	if s.late && (to.place%10 == 9 || from.place%10 == 9) {
+	if s.slowNodes && (to.index%10 == 9 || from.index%10 == 9) {
 		if s.random.IntN(50) == 0 {
-			return true, patience
+			return true, heartbeatTimeout
 		}
-		return true, lateTime / 2
+		return true, slowResponseTime / 2
 	}
 	return true, messageTime
 }
 
-// exchange sends a digest; one of done and failed follows.
+// exchange sends a digest and then calls either done or failed.
 func (n *simNode) exchange(to *simNode, digest *memberpb.Digest, done, failed func()) {
 	began := n.sim.now
 	n.count(digest)
-	arrives, took := n.sim.reaches(n, to)
+	arrives, delay := n.sim.transmit(n, to)
 	if !arrives {
-		n.sim.after(patience, n.unlessDead(failed))
+		n.sim.after(heartbeatTimeout, n.ifAlive(failed))
 		return
 	}
-	n.sim.after(took, func() {
+	n.sim.after(delay, func() {
 		if to.dead {
-			n.sim.after(patience, n.unlessDead(failed))
+			n.sim.after(heartbeatTimeout, n.ifAlive(failed))
 			return
 		}
 		reply, _ := to.Answer(digest)
 		to.count(reply)
-		arrives, took := n.sim.reaches(to, n)
-		if !arrives || n.sim.now.Add(took).Sub(began) >= patience {
-			n.sim.after(began.Add(patience).Sub(n.sim.now), n.unlessDead(failed))
+		arrives, delay := n.sim.transmit(to, n)
+		if !arrives || n.sim.now.Add(delay).Sub(began) >= heartbeatTimeout {
+			n.sim.after(began.Add(heartbeatTimeout).Sub(n.sim.now), n.ifAlive(failed))
 			return
 		}
-		n.sim.after(took, n.unlessDead(func() { n.takeReply("", reply); done() }))
+		n.sim.after(delay, n.ifAlive(func() { n.mergeReply("", reply); done() }))
 	})
 }
 
-func (n *simNode) unlessDead(do func()) func() {
+func (n *simNode) ifAlive(do func()) func() {
 	return func() {
 		if !n.dead {
 			do()
@@ -194,25 +195,24 @@
 	}
 }
 
-// investigate has others probe a member; what they find is judged when all have answered or
-// the patience is over.
-func (n *simNode) investigate(m *memberpb.Member) {
-	asked := n.Table.Missed(m.Incarnation)
-	evidence := Evidence{Asked: len(asked)}
-	target := n.sim.at(m)
-	for _, helper := range asked {
-		there, _ := n.sim.reaches(n, n.sim.at(helper))
-		back, _ := n.sim.reaches(n.sim.at(helper), n)
-		if !there || !back {
+// runIndirectProbes has other nodes probe a member and applies the result after probeTimeout.
+func (n *simNode) runIndirectProbes(m *memberpb.Member) {
+	probers := n.Table.MarkMissed(m.Incarnation)
+	result := IndirectProbeResult{Requested: len(probers)}
+	target := n.sim.nodeOf(m)
+	for _, helper := range probers {
+		requestArrived, _ := n.sim.transmit(n, n.sim.nodeOf(helper))
+		replyArrived, _ := n.sim.transmit(n.sim.nodeOf(helper), n)
+		if !requestArrived || !replyArrived {
 			continue
 		}
-		evidence.Answered++
-		out, _ := n.sim.reaches(n.sim.at(helper), target)
-		home, took := n.sim.reaches(target, n.sim.at(helper))
+		result.Answered++
+		probeArrived, _ := n.sim.transmit(n.sim.nodeOf(helper), target)
+		probeAnswered, delay := n.sim.transmit(target, n.sim.nodeOf(helper))
 		sameProcess := target.Table.Self().Incarnation == m.Incarnation
-		evidence.Reached = evidence.Reached || (out && home && sameProcess && took < probePatience)
+		result.Reached = result.Reached || (probeArrived && probeAnswered && sameProcess && delay < probeTimeout)
 	}
-	n.sim.after(probePatience, n.unlessDead(func() { n.Table.Judge(m.Incarnation, evidence) }))
+	n.sim.after(probeTimeout, n.ifAlive(func() { n.Table.ApplyProbeResult(m.Incarnation, result) }))
 }
 
 func (n *simNode) count(digest *memberpb.Digest) {
@@ -220,8 +220,8 @@
 	n.bytes += proto.Size(digest)
 }
 
-// unequal counts the tables that take others for live than those that live.
-func (s *simulation) unequal() int {
+// numDiverged counts the tables whose live members are not exactly the running nodes.
+func (s *simulation) numDiverged() int {
 	var alive uint64
 	for _, n := range s.nodes {
 		if !n.dead {
@@ -237,56 +237,57 @@
 	return count
 }
 
-// until runs until a count is nothing, and returns how long that took; most if it never was.
-func (s *simulation) until(count func() int, most time.Duration) time.Duration {
+// runUntilZero runs until count returns 0, for maxWait at most, and returns the virtual time taken.
+func (s *simulation) runUntilZero(count func() int, maxWait time.Duration) time.Duration {
 	began := s.now
-	for s.now.Sub(began) < most && count() > 0 {
+	for s.now.Sub(began) < maxWait && count() > 0 {
 		s.run(50 * time.Millisecond)
 	}
 	return s.now.Sub(began)
 }
 
-// full plays each fleet size in each test; without it what takes long is played on fewer.
-var full = flag.Bool("full", false, "play each fleet size, up to 1,000, in each test")
+// full runs each test with each fleet size; by default long tests skip the larger sizes.
+var full = flag.Bool("full", false, "run each test with each fleet size, up to 1,000")
 
-// sizes returns fleet sizes up to most, the users' deployments among them.
-func sizes(most int) []int {
+// fleetSizes returns fleet sizes up to maxSize, including those of the users' deployments.
+func fleetSizes(maxSize int) []int {
 	if *full {
-		most = 1000
+		maxSize = 1000
 	}
 	var out []int
 	for _, size := range []int{2, 7, 73, 295, 1000} {
-		if size <= most {
+		if size <= maxSize {
 			out = append(out, size)
 		}
 	}
 	return out
 }
 
-// All instances start in the same instant and know three addresses. Who draws tokens and who
-// publishes is ranked over the tables; while these differ, several do. With one member named in
-// a heartbeat, the tables of 295 were not whole after 30 s. Now they are within 2 s.
+// Guards against slow convergence when all instances start at once and each knows three addresses.
+// The instances that draw tokens and publish are chosen by rank in the tables; while the tables
+// differ, several do. With one member per heartbeat, the tables of 295 instances were incomplete
+// after 30 s; they must be complete within 2 s.
 func TestTablesAreWholeSoonAfterAStartOfAll(t *testing.T) {
-	for _, size := range sizes(295) {
+	for _, size := range fleetSizes(295) {
 		for seed := range uint64(4) {
 			s := newSimulation(size, seed)
-			s.lose = 0.01
-			took := s.until(s.unequal, 10*time.Second)
-			t.Logf("%d instances, seed %d: whole after %v", size, seed, took)
+			s.lossRate = 0.01
+			took := s.runUntilZero(s.numDiverged, 10*time.Second)
+			t.Logf("%d instances, seed %d: tables converged after %v", size, seed, took)
 			if took > 2*time.Second {
-				t.Errorf("%d instances, seed %d: tables are whole after %v only", size, seed, took)
+				t.Errorf("%d instances, seed %d: tables converged only after %v", size, seed, took)
 			}
 		}
 	}
 }
 
-// A calm minute: one message in a hundred is lost, and a tenth of the instances answer late, or
-// too late. No living member is taken for silent, for no moment, and the messages of an instance
-// are bounded whatever the size of the fleet.
+// Guards against false positives: for a minute without failures, one message in a hundred is lost
+// and a tenth of the instances answer slowly or after the timeout. No live member may be regarded
+// as silent at any time, and the traffic of an instance is bounded whatever the fleet's size.
 func TestNobodyIsSilentInACalmMinute(t *testing.T) {
-	for _, size := range sizes(73) {
+	for _, size := range fleetSizes(73) {
 		s := newSimulation(size, 2)
-		s.lose, s.late = 0.01, true
+		s.lossRate, s.slowNodes = 0.01, true
 		s.run(10 * time.Second)
 		for _, n := range s.nodes {
 			n.sent, n.bytes = 0, 0
@@ -294,27 +295,28 @@
 		seconds, silent := 60, 0
 		for range 4 * seconds {
 			s.run(250 * time.Millisecond)
-			silent += s.unequal()
+			silent += s.numDiverged()
 		}
-		sent, most := 0, 0
+		sent, maxBytes := 0, 0
 		for _, n := range s.nodes {
 			sent += n.sent
-			most = max(most, n.bytes/seconds)
+			maxBytes = max(maxBytes, n.bytes/seconds)
 		}
-		t.Logf("%d instances: %d messages a second each, at most %d bytes", size, sent/size/seconds, most)
-		if silent > 0 || most > controlBytes {
-			t.Errorf("%d instances: %d times a living member was silent, %d bytes a second", size, silent, most)
+		t.Logf("%d instances: %d messages/s each, at most %d bytes/s", size, sent/size/seconds, maxBytes)
+		if silent > 0 || maxBytes > maxControlBytesPerSecond {
+			t.Errorf("%d instances: %d tables had a live member as silent, at most %d bytes/s", size, silent, maxBytes)
 		}
 	}
 }
 
-// Some instances die at once, or nine of ten do. Callers' requests go on asking them for tokens
-// until all know it; that is within 3 s of a single death, and of many within twice that.
+// Guards against slow crash detection: until all instances know of a crash, callers' requests still
+// wait for tokens from the crashed instance. A single crash must be known within 3 s, and
+// simultaneous crashes, up to nine in ten instances, within twice that.
 func TestDeathsAreKnownSoon(t *testing.T) {
-	for _, size := range sizes(73)[1:] {
+	for _, size := range fleetSizes(73)[1:] {
 		for _, deaths := range []int{1, size / 5, min(size*9/10, size-3)} {
 			s := newSimulation(size, 3)
-			s.lose, s.late = 0.01, true
+			s.lossRate, s.slowNodes = 0.01, true
 			s.run(10 * time.Second)
 			for _, n := range s.nodes[size-deaths:] {
 				n.dead = true
@@ -323,71 +325,74 @@
 			if deaths > 1 {
 				bound *= 2
 			}
-			took := s.until(s.unequal, 4*bound)
-			t.Logf("%d instances, %d deaths: known after %v", size, deaths, took)
+			took := s.runUntilZero(s.numDiverged, 4*bound)
+			t.Logf("%d instances, %d crashes: detected after %v", size, deaths, took)
 			if took > bound {
-				t.Errorf("%d instances, %d deaths: known after %v only", size, deaths, took)
+				t.Errorf("%d instances, %d crashes: detected only after %v", size, deaths, took)
 			}
 		}
 	}
 }
 
-// Power is lost and all start again under their names, a second or so apart. Those who live were
-// taken for silent and found again for as long as the day lasted: silence was told by time, and
-// each of 295 heard of each other one every 18 s. Now the tables are whole 2 s after the last
-// start, without the dead.
+// Guards against tables that stay incomplete after a power loss, when all instances restart under
+// their names within about a second. When silence was derived from the time of the last message,
+// live members kept alternating between silent and live, because each of 295 instances received a
+// message from each other one only every 18 s. The tables must be complete 2 s after the last start,
+// without the former incarnations.
 func TestTablesAreWholeAfterALossOfAll(t *testing.T) {
-	for _, size := range sizes(295) {
+	for _, size := range fleetSizes(295) {
 		s := newSimulation(size, 4)
 		s.run(10 * time.Second)
 		for _, n := range s.nodes {
 			n.dead = true
 		}
 		s.run(2 * time.Second)
-		for place := range s.nodes {
-			s.start(place, 2)
-			if place%10 == 9 {
+		for index := range s.nodes {
+			s.start(index, 2)
+			if index%10 == 9 {
 				s.run(time.Second / time.Duration(size/10+1))
 			}
 		}
-		took := s.until(s.unequal, 10*time.Second)
-		t.Logf("%d instances: whole after %v", size, took)
+		took := s.runUntilZero(s.numDiverged, 10*time.Second)
+		t.Logf("%d instances: tables converged after %v", size, took)
 		if took > 2*time.Second {
-			t.Errorf("%d instances: tables are whole after %v only", size, took)
+			t.Errorf("%d instances: tables converged only after %v", size, took)
 		}
 	}
 }
 
-// All are cut off from each other for eight seconds. Each reaches nobody, which says nothing of
-// the others: nobody is taken for silent, so that all agree after the cut on who draws.
+// Guards against mutual suspicion when all instances are cut off from each other, here for eight
+// seconds. An instance that reaches no other has no evidence about the others and must not regard
+// any as silent, so that all agree after the partition on which instances draw tokens.
 func TestCutOfAllMakesNobodySilent(t *testing.T) {
-	for _, size := range sizes(73)[2:] {
+	for _, size := range fleetSizes(73)[2:] {
 		s := newSimulation(size, 5)
 		s.run(10 * time.Second)
-		s.parted = func(a, b *simNode) bool { return true }
+		s.isPartitioned = func(a, b *simNode) bool { return true }
 		s.run(8 * time.Second)
-		if silent := s.unequal(); silent > 0 {
-			t.Errorf("%d instances: %d living members are silent in a cut of all", size, silent)
+		if silent := s.numDiverged(); silent > 0 {
+			t.Errorf("%d instances: %d tables have live members as silent while all are cut off", size, silent)
 		}
 	}
 }
 
-// One failure domain is cut off from the others for ten seconds. Both sides take each other for
-// silent meanwhile; 3 s after the cut all tables are whole.
+// Guards against tables that stay incomplete after one failure domain was cut off from the others
+// for ten seconds. Both sides regard each other as silent meanwhile; all tables must be complete 3 s
+// after the partition ends.
 func TestTablesAreWholeAfterACutOfADomain(t *testing.T) {
-	for _, size := range sizes(73)[2:] {
+	for _, size := range fleetSizes(73)[2:] {
 		s := newSimulation(size, 6)
 		s.run(10 * time.Second)
-		s.parted = func(a, b *simNode) bool { return (a.place%5 == 0) != (b.place%5 == 0) }
+		s.isPartitioned = func(a, b *simNode) bool { return (a.index%5 == 0) != (b.index%5 == 0) }
 		s.run(10 * time.Second)
-		if s.unequal() == 0 {
-			t.Errorf("%d instances: the other side counts as live after ten seconds", size)
+		if s.numDiverged() == 0 {
+			t.Errorf("%d instances: the other side is still live after a ten-second partition", size)
 		}
-		s.parted = func(a, b *simNode) bool { return false }
-		took := s.until(s.unequal, 20*time.Second)
-		t.Logf("%d instances: whole after %v", size, took)
+		s.isPartitioned = func(a, b *simNode) bool { return false }
+		took := s.runUntilZero(s.numDiverged, 20*time.Second)
+		t.Logf("%d instances: tables converged after %v", size, took)
 		if took > 3*time.Second {
-			t.Errorf("%d instances: tables are whole %v after the cut only", size, took)
+			t.Errorf("%d instances: tables converged only %v after the partition", size, took)
 		}
 	}
 }
--- a/pkg/member/gossip.go
+++ b/pkg/member/gossip.go
@@ -8,57 +8,64 @@
 	"github.com/lavenderring/lavenderring/pkg/member/memberpb"
 )
 
-// compareAfter is how many answers in a row may show another table before this instance asks
-// for a whole one, and how many must show the same before it takes its own for whole. News that
-// is on its way makes tables differ for a moment, and a table of 300 is 25 kB; of many that
-// start at once some agree while they know next to nobody.
-const compareAfter = 3
-
-// Quarantine is a table that is to be the same at all instances, as heartbeats tell of it.
+// minConsecutiveComparisons is how many replies in a row must carry a different table hash before
+// this instance requests a full table, and how many must carry the same hash before it considers
+// its own table settled. Updates that are still being disseminated make tables differ briefly, and
+// a table of 300 members is 25 kB. When many instances start at once, some tables are equal while
+// they hold hardly any members.
+const minConsecutiveComparisons = 3
+
+// Quarantine is the table of quarantined requests, which heartbeats compare so that all instances
+// converge on the same one.
 type Quarantine interface {
-	// Hash is equal for equal tables; stored says that the table has what the store has.
+	// Hash returns a hash that is equal for equal tables; stored reports that the table includes
+	// everything that the store holds.
 	Hash() (hash uint64, stored bool)
-	// Heard takes in what the instance at an address tells.
+	// Heard records the hash and stored flag that the instance at an address sent.
 	Heard(address string, hash uint64, stored bool)
 }
 
-// Gossip exchanges digests with the other instances.
+// Gossip exchanges digests with other instances and applies what they contain.
 type Gossip struct {
 	Table *Table
-	// Send makes one exchange with the instance at an address.
+	// Send sends a digest to the instance at an address and returns its reply.
 	Send func(ctx context.Context, address string, digest *memberpb.Digest) (*memberpb.Digest, error)
-	// Probe has the instance at an address probe another member; needed by Run only.
+	// Probe requests that the instance at an address probe another member; only Run needs it.
 	Probe func(ctx context.Context, address string, suspect *memberpb.Member) (answered bool, err error)
-	// Generations tells what this instance has, by name; it may be nil.
+	// Generations returns the configuration generation of each service at this instance; it may be
+	// nil.
 	Generations func() []*memberpb.ServiceGeneration
-	// Readings tells what this instance has learned of the engines, Learned is told of
-	// what another has. Both may be nil.
+	// Readings returns what this instance has measured of the services' engines; OnReadings
+	// receives the measurements of another instance, by its name. Both may be nil.
 	Readings func() []*memberpb.Reading
 	Learned  func(from string, readings []*memberpb.Reading)
-	// Era tells the latest era of the store that this instance knows, HeardEra is told of one
-	// that another knows. Both may be nil.
+	// Era returns the latest era of the store that this instance knows; OnEra receives the one
+	// that another instance knows. Both may be nil.
 	Era      func() uint64
 	HeardEra func(uint64)
-	// Quarantine is told of other instances' quarantine, and tells of this one's; it may be nil.
+	// Quarantine provides this instance's quarantine hash and receives those of other instances;
+	// it may be nil.
 	Quarantine Quarantine
-	// Newer is told of what the instance at an address has under a higher
-	// generation than this one; it may be nil.
+	// OnNewerGenerations receives the names of the services for which the instance at an address
+	// has a higher generation than this one; it may be nil.
 	Newer func(address string, names []string)
 
-	// differing and equal count answers in a row that showed another table, or the same.
-	differing, equal atomic.Int32
-	// settled says that compareAfter answers in a row have shown the same table, agreed that
-	// one has that was settled itself: who joins a fleet has its table with the first answer.
-	settled, agreed atomic.Bool
+	// consecutiveDiffering and consecutiveEqual count replies in a row with a different table
+	// hash, or with the same one.
+	consecutiveDiffering, consecutiveEqual atomic.Int32
+	// settled is set once minConsecutiveComparisons replies in a row carried the same table hash.
+	// converged is set as soon as one such reply came from a settled instance: an instance that
+	// joins a running fleet receives its table with the first reply.
+	settled, converged atomic.Bool
 }
 
-// Digest is what this instance tells a member, by its incarnation; empty for one that is not
-// known yet.
+// Digest returns the digest to send to a member, given its incarnation, or an empty string if the
+// receiver is not known yet.
 func (g *Gossip) Digest(to string) *memberpb.Digest {
 	d := &memberpb.Digest{
 		From:        g.Table.Self(),
 		Generations: g.generations(),
-		Known:       g.Table.NewsFor(to),
+		Known:       g.Table.UpdatesFor(to),
 		TableHash:   g.Table.Hash(),
 		Settled:     g.settled.Load(),
 	}
@@ -81,28 +88,28 @@
 	return g.Generations()
 }
 
-// withTable adds the whole table and asks for the other's.
-func (g *Gossip) withTable(d *memberpb.Digest) *memberpb.Digest {
+// withFullTable adds the full table to a digest and requests the receiver's.
+func (g *Gossip) withFullTable(d *memberpb.Digest) *memberpb.Digest {
 	d.WantTable = true
-	d.Table = g.Table.Whole()
+	d.Table = g.Table.FullTable()
 	return d
 }
 
-// Answer takes a digest in and returns what goes back, and what the sender has under a higher
-// generation.
+// Answer merges a received digest. It returns the reply and the services for which the sender has
+// a higher generation.
 func (g *Gossip) Answer(d *memberpb.Digest) (reply *memberpb.Digest, newer []string) {
-	newer = g.Take(d)
+	newer = g.Merge(d)
 	reply = g.Digest(d.GetFrom().GetIncarnation())
 	if d.WantTable {
-		reply.Table = g.Table.Whole()
+		reply.Table = g.Table.FullTable()
 	}
 	return reply, newer
 }
 
-// Take learns from a digest and reports what the sender has under a higher
+// Merge applies a received digest and returns the services for which the sender has a higher
 // generation.
-func (g *Gossip) Take(d *memberpb.Digest) (newer []string) {
-	g.Table.LearnWhole(d.Table)
+func (g *Gossip) Merge(d *memberpb.Digest) (newer []string) {
+	g.Table.LearnFullTable(d.Table)
 	g.Table.Learn(d.From, true)
 	for _, m := range d.Known {
 		g.Table.Learn(m, false)
@@ -128,52 +135,53 @@
 	return newer
 }
 
-// Round sends one round of heartbeats, to all of it at once, so that one peer
-// that does not answer delays no other.
+// SendRound sends one round of heartbeats concurrently, so that a peer that does not answer
+// delays no other.
 func (g *Gossip) Round(ctx context.Context) {
 	var round sync.WaitGroup
 	for _, m := range g.Table.NextRound() {
-		round.Go(func() { _ = g.Beat(ctx, m.Incarnation, m.PeerAddress) }) // the table notes who has not been heard of
+		round.Go(func() { _ = g.SendHeartbeat(ctx, m.Incarnation, m.PeerAddress) }) // the table detects silence by the time of the last message
 	}
 	round.Wait()
 }
 
-// Beat exchanges digests with a member at an address.
-func (g *Gossip) Beat(ctx context.Context, incarnation, address string) error {
-	return g.exchange(ctx, address, g.heartbeat(incarnation))
+// SendHeartbeat exchanges digests with a member at an address.
+func (g *Gossip) SendHeartbeat(ctx context.Context, incarnation, address string) error {
+	return g.exchange(ctx, address, g.heartbeatDigest(incarnation))
 }
 
-// heartbeat is the digest of a heartbeat to a member.
-func (g *Gossip) heartbeat(to string) *memberpb.Digest {
+// heartbeatDigest returns the digest for a heartbeat to a member, with the full table if needed.
+func (g *Gossip) heartbeatDigest(to string) *memberpb.Digest {
 	digest := g.Digest(to)
 	if !g.settled.Load() {
-		// Of hundreds that start at once each knows some: whole tables double what is
-		// known with each exchange, news alone took twice as long.
-		return g.withTable(digest)
+		// When hundreds of instances start at once, each knows only a few: exchanging full tables
+		// doubles the known members each time; with updates alone convergence took twice as long.
+		return g.withFullTable(digest)
 	}
-	if g.differing.Load() >= compareAfter && g.Table.wantsWhole() {
-		g.differing.Store(0)
-		digest = g.withTable(digest)
+	if g.consecutiveDiffering.Load() >= minConsecutiveComparisons && g.Table.needsFullTable() {
+		g.consecutiveDiffering.Store(0)
+		digest = g.withFullTable(digest)
 	}
 	return digest
 }
 
-// Join makes this instance known at an address and learns whom that instance knows.
+// Join exchanges full tables with the instance at an address.
 func (g *Gossip) Join(ctx context.Context, address string) error {
-	return g.exchange(ctx, address, g.withTable(g.Digest("")))
+	return g.exchange(ctx, address, g.withFullTable(g.Digest("")))
 }
 
-// Agreed reports whether other instances have shown the same table as this one's: until then
-// it may not know most of the others.
-func (g *Gossip) Agreed() bool { return g.agreed.Load() }
+// Converged reports whether other instances have had the same table as this one. Until then this
+// instance may not know most of the others.
+func (g *Gossip) Converged() bool { return g.converged.Load() }
 
-// Answers reports whether a member answers this instance, for another one that got no answer.
+// IsReachable reports whether a member answers this instance; it serves probe requests of
+// instances that got no answer from that member.
 func (g *Gossip) Answers(ctx context.Context, incarnation, address string) bool {
 	reply, err := g.Send(ctx, address, g.Digest(incarnation))
 	if err != nil {
-		return false // that is what was asked
+		return false // an error is the negative result of the probe
 	}
-	g.takeReply(address, reply)
+	g.mergeReply(address, reply)
 	return reply.GetFrom().GetIncarnation() == incarnation
 }
 
@@ -182,30 +190,30 @@
 	if err != nil {
 		return err
 	}
-	g.takeReply(address, reply)
+	g.mergeReply(address, reply)
 	return nil
 }
 
-func (g *Gossip) takeReply(address string, reply *memberpb.Digest) {
-	if newer := g.Take(reply); len(newer) > 0 && g.Newer != nil {
+func (g *Gossip) mergeReply(address string, reply *memberpb.Digest) {
+	if newer := g.Merge(reply); len(newer) > 0 && g.Newer != nil {
 		g.Newer(address, newer)
 	}
-	g.compare(reply)
+	g.compareTable(reply)
 }
 
-// compare notes whether another instance's table is the same. That of one that is joining too
-// says little.
-func (g *Gossip) compare(reply *memberpb.Digest) {
+// compareTable counts whether another instance's table has the same hash. An equal hash of an
+// instance that is itself still joining is weak evidence of convergence.
+func (g *Gossip) compareTable(reply *memberpb.Digest) {
 	if reply.TableHash == g.Table.Hash() {
-		g.differing.Store(0)
-		if g.equal.Add(1) >= compareAfter {
+		g.consecutiveDiffering.Store(0)
+		if g.consecutiveEqual.Add(1) >= minConsecutiveComparisons {
 			g.settled.Store(true)
 		}
 		if reply.Settled || g.settled.Load() {
-			g.agreed.Store(true)
+			g.converged.Store(true)
 		}
 		return
 	}
-	g.equal.Store(0)
-	g.differing.Add(1)
+	g.consecutiveEqual.Store(0)
+	g.consecutiveDiffering.Add(1)
 }
--- a/pkg/member/prober.go
+++ b/pkg/member/prober.go
@@ -10,166 +10,173 @@
 	"github.com/lavenderring/lavenderring/pkg/pause"
 )
 
-// How members that live are told from silent ones (after SWIM): each instance sends heartbeats
-// to few others in turn, whatever the fleet's size. One that does not answer is probed by some
-// others as well, so that a bad link between two is no silence; then it is suspected, which all
-// are told, it too, and it has some time to refute that. An instance that reaches nobody says
-// nothing of others: it is cut off itself.
+// Failure detection follows SWIM: each instance sends heartbeats to a few others per protocol
+// period, whatever the fleet's size. A member that does not answer is probed indirectly through
+// other members, so that a bad link between two instances does not count as silence. If that fails
+// too, the member is suspected; the suspicion is disseminated to all, including the member itself,
+// which has some time to refute it. An instance that reaches no other member suspects nobody, since
+// it is most likely cut off itself.
 const (
-	// turnEvery is the pace of heartbeats. At five a second, each member is probed that often
-	// by somebody, which finds a death within a fifth of a second.
-	turnEvery = 200 * time.Millisecond
-	// calmTurn is how many members a turn goes to, newsTurn how many of those that answer it
-	// goes to besides while there is something to be told.
-	calmTurn = 1
-	newsTurn = 5
-	// helpers is how many others probe a member that did not answer. With one message of a
-	// hundred lost, all three fail for a living member once in fifty thousand times.
-	helpers = 3
-	// askAfter is how long a heartbeat may be unanswered before others are asked. An instance
-	// with a fifth of a core answers within it unless it is overloaded.
-	askAfter = 300 * time.Millisecond
-	// suspectFor is the time to refute a suspicion: five turns, in which the suspected is
-	// reached by several of those that have heard of it. With 0.2 s to the next heartbeat,
-	// askAfter, the probes (0.4 s) and 0.8 s for the news, a death is known within 3 s.
-	suspectFor = time.Second
-	// unhelpedFor is how long a member may be silent whom no helper could be asked about: an
-	// instance that reaches nobody is most likely cut off itself, and a cut of a whole fleet
-	// that made all take each other for silent would leave each drawing and publishing for
-	// itself. Longer than cuts that are outlasted by what instances hold.
-	unhelpedFor = 30 * time.Second
-	// silentTurn is in how many turns one goes to a silent member: after a cut somebody has to
-	// try first.
-	silentTurn = 4
+	// protocolPeriod is the interval at which an instance sends heartbeats. At five periods a
+	// second, each member receives five heartbeats a second on average, so that some instance
+	// notices a crash within a fifth of a second.
+	protocolPeriod = 200 * time.Millisecond
+	// heartbeatsPerPeriod is how many members receive a heartbeat in each period.
+	// extraHeartbeatsPerPeriod is how many responsive members receive one besides while updates
+	// are pending.
+	heartbeatsPerPeriod      = 1
+	extraHeartbeatsPerPeriod = 5
+	// numIndirectProbers is how many other members probe one that did not answer. With one message
+	// in a hundred lost, all three fail for a live member once in fifty thousand times.
+	numIndirectProbers = 3
+	// indirectProbeDelay is how long a heartbeat may be unanswered before indirect probes are
+	// sent. An instance with a fifth of a core answers in that time unless it is overloaded.
+	indirectProbeDelay = 300 * time.Millisecond
+	// suspicionTimeout is the time a member has to refute a suspicion: five periods, in which
+	// several instances that know of the suspicion contact the member. With 0.2 s to the next
+	// heartbeat, indirectProbeDelay, 0.4 s for the probes and 0.8 s to disseminate the update, a
+	// crash is known to all within 3 s.
+	suspicionTimeout = time.Second
+	// unconfirmedSilenceTimeout is how long a member may be silent before it is suspected although
+	// no indirect prober answered. An instance that reaches no other is most likely cut off
+	// itself; if a network failure of the whole fleet made all instances regard each other as
+	// silent, each would draw tokens and publish on its own. The timeout is longer than the
+	// partitions that instances can bridge with the tokens they hold.
+	unconfirmedSilenceTimeout = 30 * time.Second
+	// periodsPerSilentHeartbeat is the average number of periods between two heartbeats to a
+	// silent member: after a partition one side has to make the first contact.
+	periodsPerSilentHeartbeat = 4
 )
 
 // Run sends heartbeats until ctx ends.
 func (g *Gossip) Run(ctx context.Context) {
-	for pause.For(ctx, turnEvery) {
+	for pause.For(ctx, protocolPeriod) {
 		g.Table.expireSuspects()
-		for _, m := range g.Table.Due(!g.settled.Load()) {
-			go g.check(ctx, m)
+		for _, m := range g.Table.NextHeartbeats(!g.settled.Load()) {
+			go g.checkMember(ctx, m)
 		}
 	}
 }
 
-// check sends one heartbeat, and finds out why it is not answered.
-func (g *Gossip) check(ctx context.Context, m *memberpb.Member) {
+// checkMember sends one heartbeat to a member and starts indirect probes if it is not answered.
+func (g *Gossip) checkMember(ctx context.Context, m *memberpb.Member) {
 	answered := make(chan error, 1)
-	go func() { answered <- g.Beat(ctx, m.Incarnation, m.PeerAddress) }()
+	go func() { answered <- g.SendHeartbeat(ctx, m.Incarnation, m.PeerAddress) }()
 	select {
 	case err := <-answered:
 		if err == nil {
 			return
 		}
-	case <-time.After(askAfter):
+	case <-time.After(indirectProbeDelay):
 	}
-	if ctx.Err() == nil { // why the heartbeat failed is told, if it matters, as the member's silence
-		g.Table.Judge(m.Incarnation, g.askHelpers(ctx, g.Table.Missed(m.Incarnation), m))
+	if ctx.Err() == nil { // the error itself is not reported: a lasting failure is logged as the member's silence
+		g.Table.ApplyProbeResult(m.Incarnation, g.probeIndirectly(ctx, g.Table.MarkMissed(m.Incarnation), m))
 	}
 }
 
-// askHelpers has others probe a member, all at once.
-func (g *Gossip) askHelpers(ctx context.Context, asked []*memberpb.Member, m *memberpb.Member) Evidence {
+// probeIndirectly requests that the probers probe a member, concurrently.
+func (g *Gossip) probeIndirectly(ctx context.Context, probers []*memberpb.Member, m *memberpb.Member) IndirectProbeResult {
 	type answer struct {
 		reached bool
 		err     error
 	}
-	answers := make(chan answer, len(asked))
-	for _, helper := range asked {
+	answers := make(chan answer, len(probers))
+	for _, helper := range probers {
 		go func() {
 			reached, err := g.Probe(ctx, helper.PeerAddress, m)
 			answers <- answer{reached, err}
 		}()
 	}
-	evidence := Evidence{Asked: len(asked)}
-	for range asked {
+	result := IndirectProbeResult{Requested: len(probers)}
+	for range probers {
 		a := <-answers
 		if a.err == nil {
-			evidence.Answered++
+			result.Answered++
 		}
-		evidence.Reached = evidence.Reached || (a.err == nil && a.reached)
+		result.Reached = result.Reached || (a.err == nil && a.reached)
 	}
-	return evidence
+	return result
 }
 
-// Evidence is what others found of a member that did not answer.
-type Evidence struct {
-	// Asked is how many were asked to probe it, Answered how many of them answered.
-	Asked, Answered int
-	// Reached says that one of them got a sign of life.
+// IndirectProbeResult summarizes the indirect probes of a member that did not answer a heartbeat.
+type IndirectProbeResult struct {
+	// Requested is the number of members that were requested to probe it, Answered the number of
+	// those that replied.
+	Requested, Answered int
+	// Reached reports that the member answered at least one prober.
 	Reached bool
 }
 
-// Judge takes in what became of a heartbeat that was not answered.
-func (t *Table) Judge(incarnation string, evidence Evidence) {
+// ApplyProbeResult updates the state of a member that did not answer a heartbeat.
+func (t *Table) ApplyProbeResult(incarnation string, result IndirectProbeResult) {
 	switch {
-	case evidence.Reached:
+	case result.Reached:
 		t.Heard(incarnation)
-	case !t.stillMissed(incarnation): // it has answered late
-	case evidence.Answered > 0 || evidence.Asked == 0 || t.unheard(incarnation) > unhelpedFor:
+	case !t.hasMissedHeartbeat(incarnation): // it has answered in the meantime
+	case result.Answered > 0 || result.Requested == 0 || t.timeSinceHeard(incarnation) > unconfirmedSilenceTimeout:
 		t.Suspect(incarnation)
 	}
 }
 
-func (t *Table) stillMissed(incarnation string) bool {
+func (t *Table) hasMissedHeartbeat(incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[incarnation]
-	return e != nil && e.missed
+	return e != nil && e.missedHeartbeat
 }
 
-// unheard returns for how long a member has given no sign of life.
-func (t *Table) unheard(incarnation string) time.Duration {
+// timeSinceHeard returns the time since the last message from a member, 0 for an unknown one.
+func (t *Table) timeSinceHeard(incarnation string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[incarnation]
 	if e == nil {
 		return 0
 	}
-	return t.now().Sub(e.heard)
+	return t.now().Sub(e.lastHeard)
 }
 
-// Due returns the members that the next heartbeats go to. In one turn after the other all that
-// are not silent come once, in a new order each time. News is not kept for their turns, nor is
-// an instance that is joining and knows few others yet.
-func (t *Table) Due(joining bool) []*memberpb.Member {
+// NextHeartbeats returns the members to send heartbeats to in this period. All members that are not
+// silent are visited once in random order, then again in a new order. While updates are pending, or
+// this instance is joining and knows few others, further members are added so that dissemination
+// does not wait for that order.
+func (t *Table) NextHeartbeats(joining bool) []*memberpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	due := make([]*memberpb.Member, 0, calmTurn+newsTurn+1)
-	for range 2 { // the rest of one order, and the beginning of the next
-		due = t.takeTurns(due, calmTurn)
-		if len(due) < calmTurn && len(t.turns) == 0 {
-			t.turns = t.newTurns()
+	due := make([]*memberpb.Member, 0, heartbeatsPerPeriod+extraHeartbeatsPerPeriod+1)
+	for range 2 { // the rest of the current queue, then the start of the next
+		due = t.dequeueHeartbeats(due, heartbeatsPerPeriod)
+		if len(due) < heartbeatsPerPeriod && len(t.heartbeatQueue) == 0 {
+			t.heartbeatQueue = t.newHeartbeatQueue()
 		}
 	}
-	if joining || len(t.news) > 0 {
-		due = t.addAnswering(due)
+	if joining || len(t.updates) > 0 {
+		due = t.addResponsive(due)
 	}
-	if t.draw(silentTurn) == 0 {
-		due = append(due, t.oneSilent()...)
+	if t.randIntN(periodsPerSilentHeartbeat) == 0 {
+		due = append(due, t.sampleSilent()...)
 	}
 	return due
 }
 
-// addAnswering adds members that answered their last heartbeats, drawn anew each time.
-func (t *Table) addAnswering(due []*memberpb.Member) []*memberpb.Member {
+// addResponsive adds randomly chosen members that answered their last heartbeats; t.mu is held.
+func (t *Table) addResponsive(due []*memberpb.Member) []*memberpb.Member {
 	var answering []string
 	for incarnation, e := range t.entries {
-		if incarnation != t.identity.Incarnation && !e.missed && !t.silent(incarnation) && !slices.Contains(due, e.member) {
+		if incarnation != t.identity.Incarnation && !e.missedHeartbeat && !t.silent(incarnation) && !slices.Contains(due, e.member) {
 			answering = append(answering, incarnation)
 		}
 	}
-	for _, incarnation := range t.drawn(answering, newsTurn) {
+	for _, incarnation := range t.sample(answering, extraHeartbeatsPerPeriod) {
 		due = append(due, t.entries[incarnation].member)
 	}
 	return due
 }
 
-func (t *Table) takeTurns(due []*memberpb.Member, size int) []*memberpb.Member {
-	for len(due) < size && len(t.turns) > 0 {
-		incarnation := t.turns[0]
-		t.turns = t.turns[1:]
+func (t *Table) dequeueHeartbeats(due []*memberpb.Member, size int) []*memberpb.Member {
+	for len(due) < size && len(t.heartbeatQueue) > 0 {
+		incarnation := t.heartbeatQueue[0]
+		t.heartbeatQueue = t.heartbeatQueue[1:]
 		e := t.entries[incarnation]
 		if e != nil && !t.silent(incarnation) && !slices.Contains(due, e.member) {
 			due = append(due, e.member)
@@ -178,30 +185,31 @@
 	return due
 }
 
-func (t *Table) newTurns() []string {
-	t.forgetOld()
-	turns := make([]string, 0, len(t.entries))
+func (t *Table) newHeartbeatQueue() []string {
+	t.forgetExpired()
+	queue := make([]string, 0, len(t.entries))
 	for incarnation := range t.entries {
 		if incarnation != t.identity.Incarnation && !t.silent(incarnation) {
-			turns = append(turns, incarnation)
+			queue = append(queue, incarnation)
 		}
 	}
-	return t.drawn(turns, len(turns))
+	return t.sample(queue, len(queue))
 }
 
-// drawn draws so many of some incarnations, in a random order. They are sorted first: the order
-// of a map is random, but not drawn from the table's source.
-func (t *Table) drawn(from []string, most int) []string {
+// sample returns up to maxSize random incarnations of a list, in random order. The list is sorted
+// first: map iteration order is random, but does not come from the table's random source, which
+// tests seed.
+func (t *Table) sample(from []string, maxSize int) []string {
 	sort.Strings(from)
-	most = min(most, len(from))
-	for i := range most {
-		j := i + t.draw(len(from)-i)
+	maxSize = min(maxSize, len(from))
+	for i := range maxSize {
+		j := i + t.randIntN(len(from)-i)
 		from[i], from[j] = from[j], from[i]
 	}
-	return from[:most]
+	return from[:maxSize]
 }
 
-func (t *Table) oneSilent() []*memberpb.Member {
+func (t *Table) sampleSilent() []*memberpb.Member {
 	var silent []string
 	for incarnation, e := range t.entries {
 		if t.silent(incarnation) && !e.member.Leaving && t.byName[e.member.Name] == incarnation {
@@ -209,19 +217,20 @@
 		}
 	}
 	var one []*memberpb.Member
-	for _, incarnation := range t.drawn(silent, 1) {
+	for _, incarnation := range t.sample(silent, 1) {
 		one = append(one, t.entries[incarnation].member)
 	}
 	return one
 }
 
-// Missed notes that a member has not answered a heartbeat in time, and returns whom to ask
-// about it: those that answered last, since many may have died at once.
-func (t *Table) Missed(incarnation string) []*memberpb.Member {
+// MarkMissed records that a member has not answered a heartbeat in time, and returns the members
+// to send indirect probes through: those heard from most recently, since many may have crashed at
+// once.
+func (t *Table) MarkMissed(incarnation string) []*memberpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[incarnation]; e != nil {
-		e.missed = true
+		e.missedHeartbeat = true
 	}
 	var candidates []*entry
 	for other, e := range t.entries {
@@ -230,17 +239,17 @@
 		}
 	}
 	sort.Slice(candidates, func(i, j int) bool {
-		if candidates[i].missed != candidates[j].missed {
-			return candidates[j].missed
+		if candidates[i].missedHeartbeat != candidates[j].missedHeartbeat {
+			return candidates[j].missedHeartbeat
 		}
-		if !candidates[i].heard.Equal(candidates[j].heard) {
-			return candidates[i].heard.After(candidates[j].heard)
+		if !candidates[i].lastHeard.Equal(candidates[j].lastHeard) {
+			return candidates[i].lastHeard.After(candidates[j].lastHeard)
 		}
 		return candidates[i].member.Incarnation < candidates[j].member.Incarnation
 	})
-	asked := make([]*memberpb.Member, 0, helpers)
-	for _, e := range candidates[:min(helpers, len(candidates))] {
-		asked = append(asked, e.member)
+	probers := make([]*memberpb.Member, 0, numIndirectProbers)
+	for _, e := range candidates[:min(numIndirectProbers, len(candidates))] {
+		probers = append(probers, e.member)
 	}
-	return asked
+	return probers
 }
--- a/pkg/member/ranking.go
+++ b/pkg/member/ranking.go
@@ -11,9 +11,9 @@
 	"github.com/lavenderring/lavenderring/pkg/member/memberpb"
 )
 
-// score ranks members for a key; the highest wins (rendezvous hashing), so that
-// a member's coming or going moves only what it wins itself.
-func score(key string, m *memberpb.Member) uint64 {
+// rendezvousScore returns the score of a member for a key. The member with the highest score wins
+// (rendezvous hashing), so that a member that joins or leaves moves only the keys that it wins.
+func rendezvousScore(key string, m *memberpb.Member) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(key)
@@ -29,9 +29,9 @@
 	defer t.mu.Unlock()
 	best := map[string]*memberpb.Member{}
 	for _, m := range t.live() {
-		place := m.Region + "/" + m.Domain
-		if best[place] == nil || score(key, m) > score(key, best[place]) {
-			best[place] = m
+		domain := m.Region + "/" + m.Domain
+		if best[domain] == nil || rendezvousScore(key, m) > rendezvousScore(key, best[domain]) {
+			best[domain] = m
 		}
 	}
 	winners := make([]*memberpb.Member, 0, len(best))
@@ -43,12 +43,12 @@
 		if a != b {
 			return a < b
 		}
-		return score(key, winners[i]) > score(key, winners[j])
+		return rendezvousScore(key, winners[i]) > rendezvousScore(key, winners[j])
 	})
 	return winners
 }
 
-// Distances between instances.
+// Distances between instances, the closest first.
 const (
 	sameDomain = iota
 	sameRegion
@@ -66,14 +66,14 @@
 	}
 }
 
-// WinnersElsewhere returns, for a key, the winning live member of each other region.
+// WinnersInOtherRegions returns, for a key, the winning live member of each other region.
 func (t *Table) WinnersElsewhere(key string) []*memberpb.Member {
 	best := map[string]*memberpb.Member{}
 	for _, m := range t.Live() {
 		if t.distance(m) < otherRegion {
 			continue
 		}
-		if best[m.Region] == nil || score(key, m) > score(key, best[m.Region]) {
+		if best[m.Region] == nil || rendezvousScore(key, m) > rendezvousScore(key, best[m.Region]) {
 			best[m.Region] = m
 		}
 	}
@@ -84,20 +84,21 @@
 	return winners
 }
 
-// rankedSilence is how long a member may be silent and still be ranked. After a cut
-// of a whole fleet each instance has heard of others for a different time; if silence
-// counted as soon as in Live, they would disagree on the order, each naming itself.
-const rankedSilence = 30 * time.Second
+// maxRankedSilence is how long a member may be silent and still be ranked. After a network failure
+// of the whole fleet the instances have last heard from each other at different times; if silent
+// members lost their rank as early as in Live, the instances would disagree on the order, each
+// ranking itself first.
+const maxRankedSilence = 30 * time.Second
 
-// RankedInRegion returns the members of the own region in a key's order, at most so many.
-// Some may be silent: whoever asks them passes those over that do not answer.
-func (t *Table) RankedInRegion(key string, most int) []*memberpb.Member {
-	return t.ranked(key, most, sameRegion)
+// RankedInRegion returns up to maxMembers members of this instance's region, ordered by their score
+// for a key. Some may be silent: callers skip those that do not answer.
+func (t *Table) RankedInRegion(key string, maxMembers int) []*memberpb.Member {
+	return t.rankedWithin(key, maxMembers, sameRegion)
 }
 
-// RankedInDomain is RankedInRegion for the own failure domain.
-func (t *Table) RankedInDomain(key string, most int) []*memberpb.Member {
-	return t.ranked(key, most, sameDomain)
+// RankedInDomain is like RankedInRegion for this instance's failure domain.
+func (t *Table) RankedInDomain(key string, maxMembers int) []*memberpb.Member {
+	return t.rankedWithin(key, maxMembers, sameDomain)
 }
 
 // candidate is a member with its score for a key.
@@ -106,37 +107,37 @@
 	score  uint64
 }
 
-func (t *Table) ranked(key string, most, within int) []*memberpb.Member {
+func (t *Table) rankedWithin(key string, maxMembers, maxDistance int) []*memberpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	query := rankedQuery{key, most, within}
-	if ranked, kept := t.views.ranked[query]; kept && t.keepsViews() {
+	query := rankedQuery{key, maxMembers, maxDistance}
+	if ranked, kept := t.cache.ranked[query]; kept && t.canCache() {
 		return slices.Clone(ranked)
 	}
 	candidates := make([]candidate, 0, len(t.entries))
 	for incarnation, e := range t.entries {
 		replaced := t.byName[e.member.Name] != incarnation
-		if replaced || e.member.Leaving || t.distance(e.member) > within {
+		if replaced || e.member.Leaving || t.distance(e.member) > maxDistance {
 			continue
 		}
-		if incarnation == t.identity.Incarnation || t.stillRanked(e) {
+		if incarnation == t.identity.Incarnation || t.isRanked(e) {
 			candidates = append(candidates, candidate{e.member, e.score(key)})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.score, a.score) })
-	ranked := make([]*memberpb.Member, 0, most)
-	for _, c := range candidates[:min(most, len(candidates))] {
+	ranked := make([]*memberpb.Member, 0, maxMembers)
+	for _, c := range candidates[:min(maxMembers, len(candidates))] {
 		ranked = append(ranked, c.member)
 	}
-	if t.views.ranked == nil {
-		t.views.ranked = map[rankedQuery][]*memberpb.Member{}
+	if t.cache.ranked == nil {
+		t.cache.ranked = map[rankedQuery][]*memberpb.Member{}
 	}
-	t.views.ranked[query] = ranked
+	t.cache.ranked[query] = ranked
 	return slices.Clone(ranked)
 }
 
-// score is the member's score for a key. It is kept, since ranks are asked for many times a second. The
-// table's lock is held.
+// score returns the member's score for a key. It is cached, since ranks are computed many times a
+// second; the table's mu is held.
 func (e *entry) score(key string) uint64 {
 	if known, ok := e.scores[key]; ok {
 		return known
@@ -144,26 +145,27 @@
 	if e.scores == nil {
 		e.scores = map[string]uint64{}
 	}
-	e.scores[key] = score(key, e.member)
+	e.scores[key] = rendezvousScore(key, e.member)
 	return e.scores[key]
 }
 
-// stillRanked reports whether a member keeps its place though it may be silent. Members that
-// all take for silent need no such time: a cut makes nobody say so.
-func (t *Table) stillRanked(e *entry) bool {
-	if t.bound == 0 {
-		return !t.statedSilent(e)
+// isRanked reports whether a member takes part in rankings, for which it may have been silent for
+// a while. Where silence is a disseminated state it ends the ranking at once, since a network
+// failure of the whole fleet makes no instance declare others silent.
+func (t *Table) isRanked(e *entry) bool {
+	if t.silenceTimeout == 0 {
+		return !t.isDeclaredSilent(e)
 	}
-	return t.now().Sub(e.heard) <= rankedSilence
+	return t.now().Sub(e.lastHeard) <= maxRankedSilence
 }
 
-// RankInRegion returns how many live members of the own region come before this instance
-// in a key's order; a member that leaves, or has just gone silent, is none. Instances that
-// know different members may disagree for a moment.
+// RankInRegion returns how many live members of this instance's region have a higher score for a
+// key than this instance. Members that leave or are silent do not count. Instances with different
+// tables may disagree briefly.
 func (t *Table) RankInRegion(key string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if rank, kept := t.views.ranks[key]; kept && t.keepsViews() {
+	if rank, kept := t.cache.ranks[key]; kept && t.canCache() {
 		return rank
 	}
 	own := t.entries[t.identity.Incarnation].score(key)
@@ -173,23 +175,23 @@
 			rank++
 		}
 	}
-	if t.views.ranks == nil {
-		t.views.ranks = map[string]int{}
+	if t.cache.ranks == nil {
+		t.cache.ranks = map[string]int{}
 	}
-	t.views.ranks[key] = rank
+	t.cache.ranks[key] = rank
 	return rank
 }
 
-// OthersInRegion returns the live members of the own region but for this one.
+// OthersInRegion returns the live members of this instance's region except this instance.
 func (t *Table) OthersInRegion() []*memberpb.Member {
 	return slices.DeleteFunc(t.Others(), func(m *memberpb.Member) bool {
 		return t.distance(m) > sameRegion
 	})
 }
 
-// Partner returns the live member of another failure domain that this instance
-// should trust its records to, the same region first, other than the incarnation
-// named; empty if there is none.
+// Partner returns the incarnation of the live member of another failure domain that should store
+// this instance's records for a key, preferably in the same region and never the incarnation
+// except. It returns an empty string if there is none.
 func (t *Table) Partner(key, except string) string {
 	for _, m := range t.WinnersByDomain(key + t.identity.Name) {
 		if t.distance(m) > 0 && m.Incarnation != except {
--- a/pkg/member/ranking_test.go
+++ b/pkg/member/ranking_test.go
@@ -8,17 +8,17 @@
 	"github.com/lavenderring/lavenderring/pkg/member/memberpb"
 )
 
-// Every instance of a region works out its own place in the same order, so that one does a
-// task for all. When the first leaves or falls silent each moves up by one at most; members
-// of other regions do not count.
+// The instances of a region compute distinct ranks in a common order, so that exactly one performs
+// a task for all. When the first one leaves or becomes silent each rank decreases by one at most;
+// members of other regions do not count.
 func TestRanksOfARegionAreOneOrder(t *testing.T) {
 	const size = 9
 	c := &clock{now: time.Unix(1000, 0)}
 	var members []*memberpb.Member
 	for n := range size {
-		members = append(members, memberOf(fmt.Sprintf("m%d", n), "1", "a"))
+		members = append(members, newMember(fmt.Sprintf("m%d", n), "1", "a"))
 	}
-	elsewhere := memberOf("far", "1", "z")
+	elsewhere := newMember("far", "1", "z")
 	elsewhere.Region = "other"
 	tables := map[string]*Table{}
 	for _, self := range members {
@@ -38,21 +38,21 @@
 	}
 	for _, table := range tables {
 		if others := len(table.Others()); others != size {
-			t.Errorf("%d others", others)
+			t.Errorf("Others returns %d members", others)
 		}
 		if others := len(table.OthersInRegion()); others != size-1 {
-			t.Errorf("%d others in the region", others)
+			t.Errorf("OthersInRegion returns %d members", others)
 		}
 	}
 	for rank := 1; rank < size; rank++ {
 		table := tables[byRank[rank]]
 		table.Learn(&memberpb.Member{Incarnation: byRank[0], Name: byRank[0][:2], Region: "r", Leaving: true}, true)
 		if got := table.RankInRegion("task"); got != rank-1 {
-			t.Errorf("rank %d became %d as the first left", rank, got)
+			t.Errorf("rank %d became %d after the first member left", rank, got)
 		}
 	}
 	c.now = c.now.Add(time.Minute)
 	if got := tables[byRank[size-1]].RankInRegion("task"); got != 0 {
-		t.Errorf("with all others silent the last is of rank %d", got)
+		t.Errorf("with all others silent the last member has rank %d, want 0", got)
 	}
 }
--- a/pkg/member/table.go
+++ b/pkg/member/table.go
@@ -1,7 +1,7 @@
-// Package member keeps what one instance knows of the others: from the
-// platform's lagging list, from heartbeats, and from every message that comes.
-// Nothing that must be safe depends on its being right; it decides whom to ask
-// first and when to work around somebody.
+// Package member maintains one instance's view of the fleet's membership. It is built from the
+// platform's list, which lags, from heartbeats and from every message received. No safety property
+// depends on its accuracy: it only decides which instance to contact first and when to work around
+// an instance.
 package member
 
 import (
@@ -14,95 +14,96 @@
 	"github.com/lavenderring/lavenderring/pkg/member/memberpb"
 )
 
-// forgetAfter is how long a silent incarnation is remembered.
+// forgetAfter is how long a silent incarnation stays in the table.
 const forgetAfter = 10 * time.Minute
 
-// entry is one incarnation of an instance.
+// entry is the table's record of one incarnation of an instance.
 type entry struct {
-	// member is the newest that is known of it; replaced, never changed.
+	// member is the newest known state; it is replaced, never modified.
 	member *memberpb.Member
-	// heard is the last sign of life, stated when its state was learned.
-	heard, stated time.Time
-	// missed says that it has not answered this instance's last heartbeat.
-	missed bool
-	// scores holds the member's scores for the keys that were asked for.
+	// lastHeard is the time of its last message, stateLearned the time when its present state
+	// was learned.
+	lastHeard, stateLearned time.Time
+	// missedHeartbeat says that it has not answered this instance's last heartbeat.
+	missedHeartbeat bool
+	// scores caches the member's scores by key.
 	scores map[string]uint64
 }
 
 // Table holds the known incarnations. It is safe for concurrent use.
 type Table struct {
-	// identity is this instance as it started; its fields never change. self is
-	// the same as others see it now, and is read and replaced under mu only.
+	// identity is this instance's member record at the start; its fields never change. self is the
+	// record as disseminated now; it is read and replaced only with mu held.
 	identity *memberpb.Member
 
-	bound  time.Duration
-	fanout int
-	beat   time.Duration
-	now    func() time.Time
-	draw   func(n int) int
-
-	mu      sync.Mutex
-	self    *memberpb.Member
-	entries map[string]*entry
-	byName  map[string]string // name → newest incarnation
-	next    int
-	news    news
-	turns   []string // incarnations whose heartbeats are still due in this order
-	// suspected are those whose time to refute it runs.
+	silenceTimeout    time.Duration
+	fanout            int
+	heartbeatInterval time.Duration
+	now               func() time.Time
+	randIntN          func(n int) int
+
+	mu             sync.Mutex
+	self           *memberpb.Member
+	entries        map[string]*entry
+	byName         map[string]string // name → newest incarnation
+	nextPeer       int
+	updates        pendingUpdates
+	heartbeatQueue []string // incarnations to visit next, in this order
+	// suspected holds members whose suspicionTimeout has not passed yet.
 	suspected map[string]*entry
 	hash      uint64
-	hashed    bool // hash is that of the present entries
-	views     views
+	hashValid bool // hash matches the present entries
+	cache     viewCache
 }
 
-// Config sizes a table.
+// Config configures a table.
 type Config struct {
 	// Self is this instance.
 	Self *memberpb.Member
-	// Silent is how long a peer may be silent before others work around it; 0 leaves that
-	// to the states that instances tell each other (see Prober), which need no message from
-	// each member to each other one.
+	// SilenceTimeout is how long a peer may be silent before others work around it. If it is 0,
+	// silence is a state that instances disseminate (see Gossip.Run), which does not require
+	// messages between every two members.
 	Silent time.Duration
-	// Heartbeat is the time between two rounds of heartbeats.
+	// HeartbeatInterval is the time between two rounds of heartbeats.
 	Heartbeat time.Duration
-	// Fanout is how many peers one round goes to.
+	// Fanout is how many peers receive a heartbeat in one round.
 	Fanout int
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
-	// Draw returns a number below n, at random; nil for the process's own source.
-	Draw func(n int) int
+	// RandIntN returns a random number in [0, n). If it is nil, rand.IntN is used.
+	RandIntN func(n int) int
 }
 
-// DefaultFanout bounds a round of heartbeats, so that an instance's heartbeat
-// traffic does not grow with the fleet.
+// DefaultFanout bounds a round of heartbeats, so that an instance's heartbeat traffic does not grow
+// with the fleet.
 const DefaultFanout = 8
 
-// NewTable returns a table that knows this instance only.
+// NewTable returns a table that contains only this instance.
 func NewTable(cfg Config) *Table {
 	t := &Table{
-		identity:  cfg.Self,
-		self:      cfg.Self,
-		bound:     cfg.Silent,
-		fanout:    cfg.Fanout,
-		beat:      cfg.Heartbeat,
-		now:       cfg.Now,
-		draw:      cfg.Draw,
-		entries:   map[string]*entry{},
-		byName:    map[string]string{},
-		news:      news{},
-		suspected: map[string]*entry{},
+		identity:          cfg.Self,
+		self:              cfg.Self,
+		silenceTimeout:    cfg.Silent,
+		fanout:            cfg.Fanout,
+		heartbeatInterval: cfg.Heartbeat,
+		now:               cfg.Now,
+		randIntN:          cfg.RandIntN,
+		entries:           map[string]*entry{},
+		byName:            map[string]string{},
+		updates:           pendingUpdates{},
+		suspected:         map[string]*entry{},
 	}
-	if t.draw == nil {
-		t.draw = rand.IntN
+	if t.randIntN == nil {
+		t.randIntN = rand.IntN
 	}
-	t.entries[cfg.Self.Incarnation] = &entry{member: cfg.Self, heard: cfg.Now()}
+	t.entries[cfg.Self.Incarnation] = &entry{member: cfg.Self, lastHeard: cfg.Now()}
 	t.byName[cfg.Self.Name] = cfg.Self.Incarnation
 	return t
 }
 
-// Learn takes in a member. Direct knowledge, a message from the member itself,
-// counts as a sign of life; hearsay only makes it known. Incarnations rise with
-// time, so an older one of the same name never replaces a newer one.
+// Learn applies what was learned about a member. A direct message from the member itself proves
+// that it is alive; a record from another source only adds it. Incarnations increase with time, so
+// an older one of the same name never replaces a newer one.
 func (t *Table) Learn(m *memberpb.Member, direct bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,14 +125,15 @@
 		}
 	}
 	if direct {
-		t.signOfLife(e)
+		t.markHeard(e)
 	}
 	if supersedes(m, e.member) {
-		t.restate(e, m)
+		t.replaceMember(e, m)
 	}
 }
 
-// add takes in an incarnation that is not known; nil for one that is not worth it.
+// add creates the entry of an unknown incarnation. It returns nil if a newer incarnation of the
+// name is known, or if another instance reports it as silent.
 func (t *Table) add(m *memberpb.Member, direct bool) *entry {
 	if newest := t.byName[m.Name]; newest > m.Incarnation {
 		return nil
@@ -139,17 +141,18 @@
 	if m.State == memberpb.State_SILENT && !direct {
 		return nil
 	}
-	e := &entry{member: m, heard: t.now(), stated: t.now()}
+	e := &entry{member: m, lastHeard: t.now(), stateLearned: t.now()}
 	t.entries[m.Incarnation] = e
 	t.byName[m.Name] = m.Incarnation
-	t.news.add(m.Incarnation)
-	t.changed()
+	t.updates.add(m.Incarnation)
+	t.invalidateCache()
 	return e
 }
 
-// Succeeded notes that a process answers at an incarnation's address that replaced it.
+// LearnSuccessor records that the process at an incarnation's address is a newer incarnation that
+// has replaced it.
 func (t *Table) Succeeded(incarnation, successor string) {
-	var before *memberpb.Member // replaced, never changed, by others that learn
+	var before *memberpb.Member // entries replace it but never modify it, so it is safe to read unlocked
 	t.mu.Lock()
 	if e := t.entries[incarnation]; e != nil {
 		before = e.member
@@ -167,41 +170,43 @@
 	}, true)
 }
 
-// Heard notes a sign of life of an incarnation.
+// MarkHeard records that an incarnation has sent a message.
 func (t *Table) Heard(incarnation string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[incarnation]; e != nil {
-		t.signOfLife(e)
+		t.markHeard(e)
 	}
 }
 
-// MarkLeaving notes that this instance leaves.
+// MarkLeaving records and disseminates that this instance leaves.
 func (t *Table) MarkLeaving() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	leaving := restated(t.self, memberpb.State_ALIVE, t.self.Revision+1)
+	leaving := withState(t.self, memberpb.State_ALIVE, t.self.Revision+1)
 	leaving.Leaving = true
 	t.setSelf(leaving)
 }
 
-// Self returns this instance as others see it.
+// Self returns this instance's member record as sent to others.
 func (t *Table) Self() *memberpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// silentBound grows with the fleet: with a bounded fan-out each peer is heard
-// from less often, and three missed rounds of its turn are a sign.
-func (t *Table) silentBound() time.Duration {
-	const missedTurns = 3
-	turn := time.Duration(float64(t.beat) * float64(len(t.entries)) / float64(2*t.fanout))
-	return max(t.bound, missedTurns*turn)
+// effectiveSilenceTimeout returns the silence timeout, which grows with the fleet: with a bounded
+// fan-out each peer sends a heartbeat to this instance less often, and three of these must be
+// missing.
+func (t *Table) effectiveSilenceTimeout() time.Duration {
+	const missedHeartbeats = 3
+	interval := time.Duration(float64(t.heartbeatInterval) * float64(len(t.entries)) / float64(2*t.fanout))
+	return max(t.silenceTimeout, missedHeartbeats*interval)
 }
 
-// Silent reports whether an incarnation has not been heard of for the bound. An
-// incarnation that was replaced by a newer one of its name is silent for good.
+// Silent reports whether an incarnation has sent no message for the silence timeout or, without a
+// timeout, is declared silent. An incarnation that was replaced by a newer one of its name remains
+// silent. Unknown incarnations are silent.
 func (t *Table) Silent(incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -216,15 +221,16 @@
 	if e == nil || t.byName[e.member.Name] != incarnation {
 		return true
 	}
-	if t.bound == 0 {
-		return t.statedSilent(e)
+	if t.silenceTimeout == 0 {
+		return t.isDeclaredSilent(e)
 	}
-	return t.now().Sub(e.heard) > t.silentBound()
+	return t.now().Sub(e.lastHeard) > t.effectiveSilenceTimeout()
 }
 
-// HeardWithin reports whether the newest incarnation of a name has been heard of, or
-// learned of, within a time; where others are asked for signs of life, whether it has been
-// taken for live within that time.
+// HeardWithin reports whether the newest incarnation of a name has sent a message, or was first
+// learned of, within a time. Where silence is a disseminated state, it reports whether the
+// incarnation has not been declared silent for longer than that time. It is false for a member that
+// leaves.
 func (t *Table) HeardWithin(name string, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -232,14 +238,14 @@
 	if e == nil || e.member.Leaving {
 		return false
 	}
-	if t.bound == 0 {
-		return !t.statedSilent(e) || t.now().Sub(e.stated) <= within
+	if t.silenceTimeout == 0 {
+		return !t.isDeclaredSilent(e) || t.now().Sub(e.stateLearned) <= within
 	}
-	return t.now().Sub(e.heard) <= within
+	return t.now().Sub(e.lastHeard) <= within
 }
 
-// LiveNamed returns the newest incarnation of a name if it is neither silent nor leaving, empty
-// if there is none, and whether one is known at all.
+// LiveByName returns the newest incarnation of a name if it is neither silent nor leaving, or else
+// an empty string, and whether any incarnation of the name is known.
 func (t *Table) LiveNamed(name string) (incarnation string, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -254,7 +260,7 @@
 	return incarnation, true
 }
 
-// Address returns the peer address of an incarnation; empty if it is unknown.
+// Address returns the peer address of an incarnation, or an empty string if it is unknown.
 func (t *Table) Address(incarnation string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -264,25 +270,25 @@
 	return ""
 }
 
-// Live returns the members that are neither silent nor leaving, this one too
-// unless it leaves, ordered by incarnation.
+// Live returns the members that are neither silent nor leaving, including this instance unless it
+// leaves, ordered by incarnation.
 func (t *Table) Live() []*memberpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.live())
 }
 
-// CountLive returns how many members Live returns.
+// CountLive returns the number of members that Live returns.
 func (t *Table) CountLive() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.live())
 }
 
-// live returns the live members in a slice that is not to be changed; t.mu is held.
+// live returns the live members in a shared slice that must not be modified; t.mu is held.
 func (t *Table) live() []*memberpb.Member {
-	if t.views.live != nil && t.keepsViews() {
-		return t.views.live
+	if t.cache.live != nil && t.canCache() {
+		return t.cache.live
 	}
 	out := make([]*memberpb.Member, 0, len(t.entries))
 	for incarnation, e := range t.entries {
@@ -291,19 +297,19 @@
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Incarnation < out[j].Incarnation })
-	t.views.live = out
+	t.cache.live = out
 	return out
 }
 
-// Others returns the live members but for this one.
+// Others returns the live members except this instance.
 func (t *Table) Others() []*memberpb.Member {
 	return slices.DeleteFunc(t.Live(), func(m *memberpb.Member) bool {
 		return m.Incarnation == t.identity.Incarnation
 	})
 }
 
-// Count returns how many instances are known by name, silent ones too but not
-// those that leave.
+// Count returns how many instance names are known, including silent instances but not those that
+// leave.
 func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -316,12 +322,12 @@
 	return count
 }
 
-// NextRound returns the peers that the next round of heartbeats goes to, silent
-// ones too: they may be back. Long silent ones are forgotten here.
+// NextRound returns the peers to send the next round of heartbeats to, including silent ones, since
+// they may be back. It also removes entries that have been silent for forgetAfter.
 func (t *Table) NextRound() []*memberpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forgetOld()
+	t.forgetExpired()
 	peers := make([]*memberpb.Member, 0, len(t.entries))
 	for incarnation, e := range t.entries {
 		if incarnation != t.identity.Incarnation {
@@ -332,16 +338,17 @@
 	return t.rotate(peers)
 }
 
-// forgetOld forgets those that have been silent for long, and the replaced ones; t.mu is held.
-func (t *Table) forgetOld() {
+// forgetExpired removes entries that have been silent for forgetAfter or were replaced by a newer
+// incarnation; t.mu is held.
+func (t *Table) forgetExpired() {
 	for incarnation, e := range t.entries {
 		if incarnation == t.identity.Incarnation || !t.silent(incarnation) {
 			continue
 		}
 		replaced := t.byName[e.member.Name] != incarnation
-		last := e.heard
-		if e.stated.After(last) {
-			last = e.stated
+		last := e.lastHeard
+		if e.stateLearned.After(last) {
+			last = e.stateLearned
 		}
 		if replaced || t.now().Sub(last) > forgetAfter {
 			t.forget(incarnation, e)
@@ -352,8 +359,8 @@
 func (t *Table) forget(incarnation string, e *entry) {
 	delete(t.entries, incarnation)
 	delete(t.suspected, incarnation)
-	t.news.drop(incarnation)
-	t.changed()
+	t.updates.remove(incarnation)
+	t.invalidateCache()
 	if t.byName[e.member.Name] == incarnation {
 		delete(t.byName, e.member.Name)
 	}
@@ -365,13 +372,13 @@
 	}
 	round := make([]*memberpb.Member, 0, t.fanout)
 	for i := 0; i < t.fanout; i++ {
-		round = append(round, peers[(t.next+i)%len(peers)])
+		round = append(round, peers[(t.nextPeer+i)%len(peers)])
 	}
-	t.next = (t.next + t.fanout) % len(peers)
+	t.nextPeer = (t.nextPeer + t.fanout) % len(peers)
 	return round
 }
 
-// View is one member as shown to operators.
+// View describes one member to operators.
 type View struct {
 	Incarnation string        `json:"incarnation"`
 	Name        string        `json:"name"`
@@ -383,7 +390,7 @@
 	Heard       time.Duration `json:"heard_nanos_ago"`
 }
 
-// View returns every known member.
+// View returns a description of every known member, ordered by incarnation.
 func (t *Table) View() []View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -397,7 +404,7 @@
 			PeerAddress: e.member.PeerAddress,
 			Leaving:     e.member.Leaving,
 			Silent:      t.silent(incarnation),
-			Heard:       t.now().Sub(e.heard),
+			Heard:       t.now().Sub(e.lastHeard),
 		})
 	}
 	sort.Slice(views, func(i, j int) bool { return views[i].Incarnation < views[j].Incarnation })
--- a/pkg/member/table_test.go
+++ b/pkg/member/table_test.go
@@ -12,7 +12,7 @@
 
 func newTable(c *clock) *Table {
 	return NewTable(Config{
-		Self:      memberOf("self", "1", "a"),
+		Self:      newMember("self", "1", "a"),
 		Silent:    3 * time.Second,
 		Heartbeat: time.Second,
 		Fanout:    2,
@@ -20,49 +20,49 @@
 	})
 }
 
-func memberOf(name, run, domain string) *memberpb.Member {
+func newMember(name, run, domain string) *memberpb.Member {
 	return &memberpb.Member{Incarnation: name + "-" + run, Name: name, Region: "r", Domain: domain, PeerAddress: name}
 }
 
-// An instance restarts under its name. Its old incarnation is gone for good,
-// whatever late messages of it say: work on its behalf must not wait for it.
+// Guards against an old incarnation that becomes live again through a delayed message after the
+// instance restarted under its name: work on its behalf must not wait for it.
 func TestOldIncarnationStaysSilent(t *testing.T) {
 	c := &clock{now: time.Unix(1000, 0)}
 	table := newTable(c)
-	table.Learn(memberOf("x", "1", "b"), true)
-	table.Learn(memberOf("x", "2", "b"), true)
-	table.Learn(memberOf("x", "1", "b"), true)
+	table.Learn(newMember("x", "1", "b"), true)
+	table.Learn(newMember("x", "2", "b"), true)
+	table.Learn(newMember("x", "1", "b"), true)
 	if !table.Silent("x-1") || table.Silent("x-2") {
-		t.Error("the old incarnation is taken for alive, or the new one for dead")
+		t.Error("the old incarnation is live, or the new one is silent")
 	}
 }
 
-// The platform's list still names an instance that died long ago. Hearsay makes
-// it known, for a try, and is no sign of life ever after.
+// Guards against an instance that crashed long ago but is still in the platform's list: an indirect
+// record adds it, so that it is contacted once, but must never count as a message from it.
 func TestHearsayIsNoSignOfLife(t *testing.T) {
 	c := &clock{now: time.Unix(1000, 0)}
 	table := newTable(c)
 	for range 10 {
-		table.Learn(memberOf("x", "1", "b"), false)
+		table.Learn(newMember("x", "1", "b"), false)
 		c.now = c.now.Add(time.Second)
 	}
 	if !table.Silent("x-1") {
-		t.Error("a listed instance is taken for alive")
+		t.Error("an instance known from indirect records only is live")
 	}
 	table.Heard("x-1")
 	if table.Silent("x-1") {
-		t.Error("a sign of life is ignored")
+		t.Error("an instance is silent just after MarkHeard")
 	}
 }
 
-// An instance says that it leaves; an older digest, passed on late, names it as
-// staying. It gets no new role.
+// Guards against an older digest that arrives after an instance has announced that it leaves: the
+// instance must not count as live again and get a new role.
 func TestLeavingIsNotTakenBack(t *testing.T) {
 	table := newTable(&clock{now: time.Unix(1000, 0)})
-	leaving := memberOf("x", "1", "b")
+	leaving := newMember("x", "1", "b")
 	leaving.Leaving = true
 	table.Learn(leaving, true)
-	table.Learn(memberOf("x", "1", "b"), false)
+	table.Learn(newMember("x", "1", "b"), false)
 	for _, m := range table.Live() {
 		if m.Name == "x" {
 			t.Error("a leaving instance counts as live")
@@ -70,12 +70,12 @@
 	}
 }
 
-// One instance comes or goes. Only the keys that it wins itself may change their
-// winner, or each change would move every budget's holder.
+// Guards against winners that change for keys which a joining instance does not win itself:
+// otherwise each membership change would move the holder of every budget.
 func TestWinnersMoveOnlyToTheNewcomer(t *testing.T) {
 	table := newTable(&clock{now: time.Unix(1000, 0)})
 	for n := range 8 {
-		table.Learn(memberOf(fmt.Sprint("m", n), "1", "b"), true)
+		table.Learn(newMember(fmt.Sprint("m", n), "1", "b"), true)
 	}
 	winner := func(key string) string {
 		for _, m := range table.WinnersByDomain(key) {
@@ -89,7 +89,7 @@
 	for n := range 200 {
 		before[fmt.Sprint(n)] = winner(fmt.Sprint(n))
 	}
-	table.Learn(memberOf("late", "1", "b"), true)
+	table.Learn(newMember("late", "1", "b"), true)
 	moved := 0
 	for key, name := range before {
 		if now := winner(key); now != name {
@@ -104,23 +104,23 @@
 	}
 }
 
-// A large fleet with a small fan-out: every peer gets its turn.
+// With a fan-out smaller than the fleet, successive rounds reach every peer.
 func TestRoundsReachEverybody(t *testing.T) {
 	table := newTable(&clock{now: time.Unix(1000, 0)})
 	for n := range 9 {
-		table.Learn(memberOf(fmt.Sprint("m", n), "1", "b"), true)
+		table.Learn(newMember(fmt.Sprint("m", n), "1", "b"), true)
 	}
-	met := map[string]bool{}
+	reached := map[string]bool{}
 	for range 5 {
 		round := table.NextRound()
 		if len(round) > 2 {
 			t.Fatalf("a round goes to %d peers", len(round))
 		}
 		for _, m := range round {
-			met[m.Name] = true
+			reached[m.Name] = true
 		}
 	}
-	if len(met) != 9 {
-		t.Errorf("%d of 9 peers were met", len(met))
+	if len(reached) != 9 {
+		t.Errorf("%d of 9 peers were reached", len(reached))
 	}
 }
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -60,7 +60,7 @@
 try resting-ends-with-the-outage pkg/prepaid/refill.go 's/d\.rest, d\.restUntil = 0, time\.Time\{\}/_ = d/' pkg/prepaid TestDrawersAreAskedAgainOnceTheStoreIsBack
 try a-third-is-held pkg/prepaid/tick.go 's/heldPart = 3/heldPart = 5/' pkg/prepaid TestAccountThatLastsOutlastsACut
 try restarted-is-another pkg/placement/pool.go 's/ \|\| s\.Born != u\.Born//' pkg/placement TestRestartedUpstreamBeginsWithNothing
-try kept-views-follow-the-entries pkg/member/state.go 's/\t\tt\.views = views\{\}\n//' pkg/member TestKeptViewsAreThoseOfTheEntries
+try kept-views-follow-the-entries pkg/member/state.go 's/\t\tt\.cache = viewCache\{\}\n//' pkg/member TestKeptViewsAreThoseOfTheEntries
 try others-take-publishing-over pkg/follow/publisher.go 's/const publishers = 20/const publishers = 3/' pkg/follow TestStoreThatRefusesItsReadersIsReadByAnother
 try who-lacks-nothing-gets-nothing pkg/follow/handon.go 's/ && since\.Before\(upTo\)//' pkg/follow TestCopyIsHandedOnAsItCameAndToThoseThatLackIt
 try kept-hash-follows-the-record pkg/quarantine/table.go 's/\te\.kept = 0\n//' pkg/quarantine TestKeptHashIsThatOfTheRecord
@@ -82,7 +82,7 @@
 try older-word-changes-nothing pkg/follow/follow.go 's/if !since\.Before\(upTo\) \|\| \(/if (/' pkg/follow TestOlderWordChangesNothing
 try handing-on-is-bounded pkg/follow/handon.go 's/ && h\.spent\+size > handMost/ \&\& false/' pkg/follow TestLargeChangeIsHandedOnInTime
 try suspicion-is-refuted pkg/member/state.go 's/m\.State != memberpb\.State_ALIVE && m\.Revision >= t\.self\.Revision/false/' pkg/member TestTablesAreWholeAfterACutOfADomain
-try cut-off-accuses-nobody pkg/member/prober.go 's/case evidence\.Answered > 0 \|\| /case true || /' pkg/member TestCutOfAllMakesNobodySilent
+try cut-off-accuses-nobody pkg/member/prober.go 's/case result\.Answered > 0 \|\| /case true || /' pkg/member TestCutOfAllMakesNobodySilent
 try drawer-is-named pkg/prepaid/named.go 's/if name == "" \|\| name == n\.Name \{/if true {/' pkg/prepaid TestOneDomainStepsInForAll
 try unknown-drawer-is-met pkg/prepaid/named.go 's/ \|\| n\.meets\(shard, s\.Drawer\)//' pkg/prepaid TestDrawersThatDoNotKnowEachOtherGiveWay
 try joining-do-not-draw pkg/prepaid/drawer.go 's/if !n\.Fleet\.Joined\(\) \{/if false {/' pkg/prepaid TestCollisionsEndAfterAStartOfAll
