--- a/pkg/meeting/meeting.go
+++ b/pkg/meeting/meeting.go
@@ -1,6 +1,6 @@
-// Package meeting has the instances of a fleet find each other: through the seeds that settings name,
-// and through entries that some of them keep in the platform's store. From the first contact on
-// heartbeats tell who else there is.
+// Package meeting lets the instances of a fleet discover each other: through the configured seeds,
+// and through entries that some instances keep in the platform's store. After the first contact,
+// heartbeats carry the other members.
 package meeting
 
 import (
@@ -18,59 +18,61 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Kind is the kind of the instances' own entries in the store.
+// Kind is the object kind of the instances' entries in the store.
 const Kind = "instances"
 
-// How instances meet.
+// Parameters of discovery.
 const (
-	// meetRetry is how often an instance that knows no other looks for one.
-	meetRetry = 250 * time.Millisecond
-	// seedsFirst is how often it asks the seeds in vain before it asks the store: machines
+	// retryInterval is how often an instance that knows no other tries its seeds.
+	retryInterval = 250 * time.Millisecond
+	// minSeedAttempts is how many attempts at the seeds fail before the store is read: instances
 	// that start together refuse connections for some hundred milliseconds.
-	seedsFirst = 4
-	// storeRetry is how often it reads the store's list while it knows no other.
-	storeRetry = 2 * time.Second
-	// meetAgain is how often one that knows others looks for more: at seeds that are no members, and a
-	// registrar in the store's list as well. Groups that started apart, or were cut off from each other
-	// for longer than members are remembered, find each other through it. meetSoon is the time to the
-	// first such look: groups that start apart do so in the same seconds.
-	meetAgain = 10 * time.Second
-	meetSoon  = 2 * time.Second
-	// vainTries is how often instances that the store lists are asked in vain before this one takes
-	// itself for the only one: those that start at the same time do not answer yet.
-	vainTries = 3
-	// joinsAtOnce bounds the listed instances that are asked together. Others are drawn each time.
-	joinsAtOnce = 8
-	// settlesWithin is how long after the first contact the others count as known, though
-	// answers may still show other tables because instances come all the time. Tables are whole
-	// within 1.3 s where 295 start at once.
-	settlesWithin = 2 * time.Second
-	// registrars is how many instances of a region have an entry in the store, for those whose
-	// seeds are all gone. If each had one, a start of all would be as many writes, and as many
-	// lists of all.
-	registrars = 3
-	// registrarKey is what the instances of a region are ranked for (rendezvous hashing) to
-	// have an entry.
+	minSeedAttempts = 4
+	// storeRetryInterval is how often it reads the entries in the store while it knows no other.
+	storeRetryInterval = 2 * time.Second
+	// searchInterval is how often an instance that knows others searches for more: at seeds that are
+	// no members and, if it is a registrar, among the entries in the store. This joins groups that
+	// formed separately, or that were partitioned for longer than the member table keeps silent
+	// members. firstSearchDelay is the time to the first such search, since groups that form
+	// separately do so within the same seconds.
+	searchInterval   = 10 * time.Second
+	firstSearchDelay = 2 * time.Second
+	// maxListedAttempts is how many attempts to join instances listed in the store fail before this
+	// instance concludes that it is the only one: instances that start at the same time do not answer
+	// yet.
+	maxListedAttempts = 3
+	// maxConcurrentJoins bounds the listed instances that are contacted at once; each attempt picks
+	// them at random.
+	maxConcurrentJoins = 8
+	// settleTimeout is how long after the first contact the other instances count as known even if
+	// tables still differ, because instances keep joining. When 295 instances start at once, their
+	// tables converge within 1.3 s.
+	settleTimeout = 2 * time.Second
+	// numRegistrars is how many instances of a region keep an entry in the store, for instances
+	// whose seeds are all gone. If every instance kept one, a simultaneous start of the fleet
+	// would cause as many writes, and as many reads of the full list.
+	numRegistrars = 3
+	// registrarKey is the rendezvous hashing key by which the registrars of a region are chosen.
 	registrarKey = "registrars"
 )
 
-// Config says who this instance is and whom it is told of.
+// Config holds this instance's identity and its seeds.
 type Config struct {
-	// Name is this instance's name, Address where others reach it.
+	// Name is this instance's name, Address its peer address.
 	Name, Address string
-	// Seeds are addresses of other instances.
+	// Seeds are the peer addresses of other instances.
 	Seeds []string
 }
 
-// Gossip exchanges what is known of the members.
+// Gossip exchanges membership tables with other instances.
 type Gossip interface {
-	// Join makes this instance known at an address and learns whom that instance knows.
+	// Join exchanges full tables with the instance at an address.
 	Join(ctx context.Context, address string) error
-	// Agreed reports whether other instances have shown the same members.
+	// Converged reports whether other instances have had the same table as this one.
 	Converged() bool
 }
 
-// Deps is what a meeting works with.
+// Deps holds the dependencies of a Discovery.
 type Deps struct {
 	Table  *member.Table
 	Gossip Gossip
@@ -78,167 +80,170 @@
 	Log    *eventlog.Log
 }
 
-// Meeting is how far this instance has met the others. It is safe for concurrent use.
+// Discovery finds other instances and tracks whether this one has joined them. It is safe for
+// concurrent use.
 type Meeting struct {
 	Config
 	Deps
 
-	// first is when another was first met; nil before.
-	first atomic.Pointer[time.Time]
-	// looks counts the looks for more since then; touched by Run only.
-	looks int
-	// nobody says that the store lists nobody that answers.
-	nobody atomic.Bool
-	// registered says that the store has this instance's entry; it may lose it.
+	// firstContact is when another instance first answered; nil before.
+	firstContact atomic.Pointer[time.Time]
+	// searches counts the searches for further instances; used by Run only.
+	searches int
+	// foundNobody says that the store lists no other instance that answers.
+	foundNobody atomic.Bool
+	// registered says that this instance has written its entry; the store may lose it.
 	registered atomic.Bool
 }
 
-// New returns a meeting; Run must be called.
+// New returns a Discovery; Run must be called.
 func New(cfg Config, deps Deps) *Meeting { return &Meeting{Config: cfg, Deps: deps} }
 
-// Joined reports whether the others are known.
+// Joined reports whether this instance knows the other instances, or has found that there are none.
 func (m *Meeting) Joined() bool {
-	if m.nobody.Load() || m.Gossip.Converged() {
+	if m.foundNobody.Load() || m.Gossip.Converged() {
 		return true
 	}
-	first := m.first.Load()
-	return first != nil && time.Since(*first) > settlesWithin
+	first := m.firstContact.Load()
+	return first != nil && time.Since(*first) > settleTimeout
 }
 
-// FoundNobody reports that the store was read and lists nobody else that answers.
-func (m *Meeting) FoundNobody() bool { return m.nobody.Load() }
+// FoundNobody reports whether the store was read and lists no other instance that answers.
+func (m *Meeting) FoundNobody() bool { return m.foundNobody.Load() }
 
-// IsRegistrar reports whether this instance is one of those of its region that keep entries in the
+// IsRegistrar reports whether this instance is one of those in its region that keep an entry in the
 // store.
-func (m *Meeting) IsRegistrar() bool { return m.Table.RankInRegion(registrarKey) < registrars }
+func (m *Meeting) IsRegistrar() bool { return m.Table.RankInRegion(registrarKey) < numRegistrars }
 
-// StoreWentBack says that the store may have lost this instance's entry.
+// NoteStoreRestored records that the store was restored from an older copy and may have lost this
+// instance's entry.
 func (m *Meeting) StoreWentBack() { m.registered.Store(false) }
 
-// Run makes this instance known and learns of the others until ctx ends: from the seeds, and from the
-// store where no seed answers.
+// Run announces this instance and discovers others until ctx ends: through the seeds, and through the
+// store if no seed answers.
 func (m *Meeting) Run(ctx context.Context) {
-	for failed := 0; ctx.Err() == nil; {
+	for failedAttempts := 0; ctx.Err() == nil; {
 		var interval time.Duration
-		if !m.joinSeeds(ctx) && m.alone() {
-			failed++
-			interval = m.lookAlone(ctx, failed)
+		if !m.joinSeeds(ctx) && m.isAlone() {
+			failedAttempts++
+			interval = m.searchStoreWhenAlone(ctx, failedAttempts)
 		} else {
-			interval = m.lookForMore(ctx)
+			interval = m.searchForMore(ctx)
 		}
 		m.registerIfRanked(ctx)
 		pause.For(ctx, interval/2+rand.N(interval))
 	}
 }
 
-// lookAlone looks for others in the store, once seeds were asked in vain for long enough. It returns
-// the time to the next look.
-func (m *Meeting) lookAlone(ctx context.Context, failed int) time.Duration {
-	if failed < seedsFirst && len(m.Seeds) > 0 {
-		return meetRetry
+// searchStoreWhenAlone searches for other instances in the store once enough attempts at the seeds
+// have failed. It returns the time to the next attempt.
+func (m *Meeting) searchStoreWhenAlone(ctx context.Context, failedAttempts int) time.Duration {
+	if failedAttempts < minSeedAttempts && len(m.Seeds) > 0 {
+		return retryInterval
 	}
-	m.meetThroughStore(ctx)
-	if m.alone() {
-		return storeRetry
+	m.joinThroughStore(ctx)
+	if m.isAlone() {
+		return storeRetryInterval
 	}
-	return meetSoon
+	return firstSearchDelay
 }
 
-// lookForMore has a registrar send to those that the store lists and this group does not know. It
-// returns the time to the next look.
-func (m *Meeting) lookForMore(ctx context.Context) time.Duration {
-	m.looks++
-	if m.looks == 1 {
-		return meetSoon // most of the others are still on their way
+// searchForMore contacts, if this instance is a registrar, the instances that are listed in the store
+// but are not live members. It returns the time to the next search.
+func (m *Meeting) searchForMore(ctx context.Context) time.Duration {
+	m.searches++
+	if m.searches == 1 {
+		return firstSearchDelay // most other instances are still starting
 	}
 	if !m.IsRegistrar() {
-		return meetAgain
+		return searchInterval
 	}
-	if listed, err := m.list(ctx); err == nil {
+	if listed, err := m.listAddresses(ctx); err == nil {
 		m.joinListed(ctx, listed)
 	}
-	return meetAgain
+	return searchInterval
 }
 
-// MeetAt makes the instance at an address known; if it does not answer it is not.
+// DiscoverAt adds the instance at an address to the members; if it does not answer, the failure is
+// logged.
 func (m *Meeting) MeetAt(ctx context.Context, address string) {
 	if err := m.Gossip.Join(ctx, address); err != nil {
 		m.Log.Event(eventlog.MembersUnknown, "", eventlog.Fields{"step": "meet", "peer": address, "cause": err.Error()})
 	}
 }
 
-// met notes that another instance was met.
-func (m *Meeting) met() {
+// noteContact records the time of the first contact with another instance.
+func (m *Meeting) noteContact() {
 	now := time.Now()
-	m.first.CompareAndSwap(nil, &now)
+	m.firstContact.CompareAndSwap(nil, &now)
 }
 
-func (m *Meeting) alone() bool { return len(m.Table.Others()) == 0 }
+func (m *Meeting) isAlone() bool { return len(m.Table.Others()) == 0 }
 
-// joinSeeds sends to the seeds that are no members, and reports whether one answered.
+// joinSeeds joins the seeds that are no live members, and reports whether one answered.
 func (m *Meeting) joinSeeds(ctx context.Context) bool { return m.joinAll(ctx, m.UnmetSeeds()) }
 
-// joinAll sends to all of some addresses at once, and reports whether one answered.
+// joinAll joins the instances at all addresses concurrently, and reports whether one answered.
 func (m *Meeting) joinAll(ctx context.Context, addresses []string) bool {
 	var answered atomic.Bool
-	var asked sync.WaitGroup
+	var joins sync.WaitGroup
 	for _, address := range addresses {
-		asked.Go(func() {
+		joins.Go(func() {
 			if m.Gossip.Join(ctx, address) == nil {
 				answered.Store(true)
-				m.met()
+				m.noteContact()
 			}
 		})
 	}
-	asked.Wait()
+	joins.Wait()
 	return answered.Load()
 }
 
-// UnmetSeeds returns the seeds' addresses at which no member is known to live.
-func (m *Meeting) UnmetSeeds() []string { return m.unmet(m.Seeds) }
+// UnknownSeeds returns the addresses of the seeds at which there is no live member.
+func (m *Meeting) UnmetSeeds() []string { return m.unknown(m.Seeds) }
 
-// unmet returns those of some addresses at which no member is known to live.
-func (m *Meeting) unmet(addresses []string) []string {
+// unknown returns the addresses at which there is no live member.
+func (m *Meeting) unknown(addresses []string) []string {
 	known := map[string]bool{m.Address: true}
 	for _, other := range m.Table.Others() {
 		known[other.PeerAddress] = true
 	}
-	var unmet []string
+	var unknown []string
 	for _, address := range addresses {
 		if !known[address] {
-			unmet = append(unmet, address)
+			unknown = append(unknown, address)
 		}
 	}
-	return unmet
+	return unknown
 }
 
-// meetThroughStore registers this instance and sends to those that the store lists. A group of
-// instances that all lack their seeds meets in this way: each finds what was written before its
-// own entry, so of two at least one finds the other.
-func (m *Meeting) meetThroughStore(ctx context.Context) {
+// joinThroughStore registers this instance and joins those listed in the store. This connects
+// instances none of whose seeds answers: each finds the entries written before its own, so of any
+// two instances at least one finds the other.
+func (m *Meeting) joinThroughStore(ctx context.Context) {
 	if !m.registered.Load() {
 		m.register(ctx)
 	}
-	listed, err := m.list(ctx)
+	listed, err := m.listAddresses(ctx)
 	if err != nil {
 		return
 	}
-	for try := range vainTries {
-		if try > 0 {
-			pause.For(ctx, meetRetry)
+	for attempt := range maxListedAttempts {
+		if attempt > 0 {
+			pause.For(ctx, retryInterval)
 		}
-		if !m.alone() || m.joinListed(ctx, listed) {
+		if !m.isAlone() || m.joinListed(ctx, listed) {
 			return
 		}
-		if len(m.unmet(listed)) == 0 {
+		if len(m.unknown(listed)) == 0 {
 			break
 		}
 	}
-	m.nobody.Store(true)
+	m.foundNobody.Store(true)
 }
 
-// list reads the addresses of the store's entries.
-func (m *Meeting) list(ctx context.Context) ([]string, error) {
+// listAddresses reads the peer addresses of the entries in the store.
+func (m *Meeting) listAddresses(ctx context.Context) ([]string, error) {
 	list, err := m.Store.List(ctx, Kind)
 	if err != nil {
 		m.Log.Event(eventlog.MembersUnknown, "", eventlog.Fields{"step": "list instances", "cause": err.Error()})
@@ -256,21 +261,23 @@
 	return addresses, nil
 }
 
-// joinListed sends to some listed instances that are no members, and reports whether one answered.
+// joinListed joins some randomly chosen listed instances that are no live members, and reports
+// whether one answered.
 func (m *Meeting) joinListed(ctx context.Context, listed []string) bool {
-	unmet := m.unmet(listed)
-	rand.Shuffle(len(unmet), func(i, j int) { unmet[i], unmet[j] = unmet[j], unmet[i] })
-	return m.joinAll(ctx, unmet[:min(joinsAtOnce, len(unmet))])
+	unknown := m.unknown(listed)
+	rand.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
+	return m.joinAll(ctx, unknown[:min(maxConcurrentJoins, len(unknown))])
 }
 
-// registerIfRanked writes this instance's entry if it is one of those that have one.
+// registerIfRanked writes this instance's entry if it is a registrar and has none yet.
 func (m *Meeting) registerIfRanked(ctx context.Context) {
 	if !m.registered.Load() && m.Joined() && m.IsRegistrar() {
 		m.register(ctx)
 	}
 }
 
-// register writes this instance's entry; what failed is tried again later.
+// register writes this instance's entry; a failure is logged, and a later call of
+// registerIfRanked or joinThroughStore retries it.
 func (m *Meeting) register(ctx context.Context) {
 	value, err := json.Marshal(m.Table.Self())
 	if err == nil {
--- a/pkg/meeting/meeting_test.go
+++ b/pkg/meeting/meeting_test.go
@@ -18,24 +18,27 @@
 	"github.com/lavenderring/lavenderring/pkg/store/storefake"
 )
 
-// Figures of the fleets.
+// Parameters of the simulated fleets.
 const (
-	// messageTime is what a message between instances takes, storeTime what a call to the store takes.
-	messageTime = 2 * time.Millisecond
-	storeTime   = 5 * time.Millisecond
+	// messageLatency is the latency of a message between instances, storeLatency that of a call to the
+	// store.
+	messageLatency = 2 * time.Millisecond
+	storeLatency   = 5 * time.Millisecond
 	// joinTimeout is how long an instance waits for one that does not answer.
 	joinTimeout = 500 * time.Millisecond
-	// startsWithin is the time in which all instances are started, and in which each begins to answer.
-	startsWithin = time.Second
-	// wholeWithin is how long after the last of them answers all know all.
-	wholeWithin = 10 * time.Second
-	// callsEnd is the time in which calls on their way end.
-	callsEnd = 5 * time.Second
+	// startWindow is the time within which all instances start, and within which each one then begins
+	// to answer.
+	startWindow = time.Second
+	// convergeTimeout is the time allowed for all tables to be complete after the last instance
+	// begins to answer.
+	convergeTimeout = 10 * time.Second
+	// drainTime is the time within which pending calls end.
+	drainTime = 5 * time.Second
 )
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// slowStore is a store whose calls take time.
+// slowStore adds latency to the calls of a fake store.
 type slowStore struct {
 	*storefake.Store
 	lists atomic.Int64
@@ -43,33 +46,33 @@
 
 func (s *slowStore) List(ctx context.Context, kind string) (store.Listing, error) {
 	s.lists.Add(1)
-	time.Sleep(storeTime)
+	time.Sleep(storeLatency)
 	return s.Store.List(ctx, kind)
 }
 
 func (s *slowStore) Put(ctx context.Context, key string, value []byte, at store.Position) (store.Position, error) {
-	time.Sleep(storeTime)
+	time.Sleep(storeLatency)
 	return s.Store.Put(ctx, key, value, at)
 }
 
-// fleet is some instances in virtual time, which start one after the other.
+// fleet is a set of instances in virtual time that start at random times.
 type fleet struct {
 	t      *testing.T
 	store  *slowStore
 	random *rand.Rand
 	nodes  map[string]*node
-	// cut says that instances of odd and of even places do not reach each other.
-	cut atomic.Bool
+	// partitioned says that instances with odd and even indexes cannot reach each other.
+	partitioned atomic.Bool
 }
 
-// node is one instance. It answers from a time on.
+// node is one instance. It answers from answersAt on.
 type node struct {
 	*Meeting
-	gossip  *member.Gossip
-	fleet   *fleet
-	place   int
-	starts  time.Time
-	answers time.Time
+	gossip    *member.Gossip
+	fleet     *fleet
+	index     int
+	startsAt  time.Time
+	answersAt time.Time
 }
 
 func newFleet(t *testing.T, seed uint64, size int, seeds []string) *fleet {
@@ -77,19 +80,19 @@
 		t: t, store: &slowStore{Store: storefake.New(seed)},
 		random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{},
 	}
-	for place := range size {
-		f.add(place, seeds)
+	for index := range size {
+		f.add(index, seeds)
 	}
 	return f
 }
 
-func addressOf(place int) string { return fmt.Sprintf("10.1.0.%d:8522", place) }
+func addressOf(index int) string { return fmt.Sprintf("10.1.0.%d:8522", index) }
 
-func (f *fleet) add(place int, seeds []string) {
-	name, address := fmt.Sprintf("edge-%d", place), addressOf(place)
-	n := &node{fleet: f, place: place}
-	n.starts = time.Now().Add(time.Duration(f.random.Int64N(int64(startsWithin))))
-	n.answers = n.starts.Add(time.Duration(f.random.Int64N(int64(startsWithin))))
+func (f *fleet) add(index int, seeds []string) {
+	name, address := fmt.Sprintf("edge-%d", index), addressOf(index)
+	n := &node{fleet: f, index: index}
+	n.startsAt = time.Now().Add(time.Duration(f.random.Int64N(int64(startWindow))))
+	n.answersAt = n.startsAt.Add(time.Duration(f.random.Int64N(int64(startWindow))))
 	table := member.NewTable(member.Config{
 		Self: &memberpb.Member{Incarnation: name + "-1", Name: name, Region: "r", Domain: "d", PeerAddress: address},
 		Now:  time.Now,
@@ -101,97 +104,98 @@
 	f.nodes[address] = n
 }
 
-// send has the instance at an address take a digest in.
+// send delivers a digest to the instance at an address and returns its reply.
 func (n *node) send(_ context.Context, address string, digest *memberpb.Digest) (*memberpb.Digest, error) {
-	time.Sleep(messageTime)
+	time.Sleep(messageLatency)
 	other := n.fleet.nodes[address]
-	if other == nil || time.Now().Before(other.answers) || n.isCutFrom(other) {
+	if other == nil || time.Now().Before(other.answersAt) || n.isPartitionedFrom(other) {
 		time.Sleep(joinTimeout)
-		return nil, errSilent
+		return nil, errNoAnswer
 	}
 	reply, _ := other.gossip.Answer(digest)
 	return reply, nil
 }
 
-func (n *node) isCutFrom(other *node) bool {
-	return n.fleet.cut.Load() && n.place%2 != other.place%2
+func (n *node) isPartitionedFrom(other *node) bool {
+	return n.fleet.partitioned.Load() && n.index%2 != other.index%2
 }
 
 func (n *node) probe(context.Context, string, *memberpb.Member) (bool, error) {
-	return false, errSilent
+	return false, errNoAnswer
 }
 
-// play runs the fleet for a time, and something beside it.
-func (f *fleet) play(length time.Duration, beside func()) {
+// run runs the fleet for a time, and a function concurrently.
+func (f *fleet) run(length time.Duration, concurrently func()) {
 	ctx, cancel := context.WithTimeout(f.t.Context(), length)
 	defer cancel()
 	for _, n := range f.nodes {
 		go func() {
-			time.Sleep(time.Until(n.starts))
+			time.Sleep(time.Until(n.startsAt))
 			go n.Run(ctx)
 			n.gossip.Run(ctx)
 		}()
 	}
-	go beside()
+	go concurrently()
 	<-ctx.Done()
-	time.Sleep(callsEnd)
+	time.Sleep(drainTime)
 	synctest.Wait()
 }
 
-// mustBeWhole fails the test if an instance does not know all others.
-func (f *fleet) mustBeWhole() {
+// requireComplete fails the test if an instance does not know all others.
+func (f *fleet) requireComplete() {
 	f.t.Helper()
 	for address, n := range f.nodes {
 		if known := n.Table.CountLive(); known != len(f.nodes) {
-			f.t.Errorf("%s knows %d of %d", address, known, len(f.nodes))
+			f.t.Errorf("%s knows %d of %d instances", address, known, len(f.nodes))
 		}
 	}
 }
 
-// Guards against instances that start together without seeds, some of which answer late, and form
-// groups that never hear of each other.
+// Guards against separate groups that never discover each other, when instances start together
+// without seeds and some answer late.
 func TestInstancesThatStartTogetherAreOneFleet(t *testing.T) {
 	for _, size := range []int{2, 3, 7, 23} {
 		for seed := range uint64(40) {
 			t.Run(fmt.Sprintf("%d instances, seed %d", size, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, seed, size, nil)
-					f.play(2*startsWithin+wholeWithin, func() {})
-					f.mustBeWhole()
+					f.run(2*startWindow+convergeTimeout, func() {})
+					f.requireComplete()
 				})
 			})
 		}
 	}
 }
 
-// Guards against two halves of a fleet that forgot each other in a long cut and stay apart after it:
-// the seeds are all in one half, or there are none.
+// Guards against two halves of a fleet that stay separate after a partition so long that each removed
+// the other's members: the seeds are all in one half, or there are none.
 func TestHalvesFindEachOtherAfterALongCut(t *testing.T) {
 	for _, seeds := range [][]string{nil, {addressOf(0), addressOf(2)}} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 1, 6, seeds)
-			const cutFor = time.Hour
-			f.play(cutFor+2*wholeWithin+time.Minute, func() {
-				time.Sleep(2*startsWithin + wholeWithin)
-				f.cut.Store(true)
-				time.Sleep(cutFor)
-				f.cut.Store(false)
+			const partitionLength = time.Hour
+			f.run(partitionLength+2*convergeTimeout+time.Minute, func() {
+				time.Sleep(2*startWindow + convergeTimeout)
+				f.partitioned.Store(true)
+				time.Sleep(partitionLength)
+				f.partitioned.Store(false)
 			})
-			f.mustBeWhole()
+			f.requireComplete()
 		})
 	}
 }
 
-// Guards against a calm fleet whose instances all read the list of entries again and again.
+// Guards against a stable fleet in which every instance keeps reading the list of entries from the
+// store.
 func TestCalmFleetHasFewReadersOfTheList(t *testing.T) {
 	const size, calm = 23, 5 * time.Minute
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, size, []string{addressOf(0), addressOf(1), addressOf(2)})
-		f.play(calm, func() {})
-		f.mustBeWhole()
-		most := int64(registrars * (calm / (meetAgain / 2)))
-		if lists := f.store.lists.Load(); lists > most {
-			t.Errorf("%d reads of the list in %s, more than %d", lists, calm, most)
+		f.run(calm, func() {})
+		f.requireComplete()
+		maxLists := int64(numRegistrars * (calm / (searchInterval / 2)))
+		if lists := f.store.lists.Load(); lists > maxLists {
+			t.Errorf("%d reads of the list in %s, at most %d allowed", lists, calm, maxLists)
 		}
 	})
 }
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -96,7 +96,7 @@
 try witnessed-draws-are-told pkg/prepaid/recovery.go 's/append\(n\.witnessedRows\(shard\), stored/append([]seenRow(nil), stored/' pkg/prepaid TestDrawOfAWriterThatDiesAtOnceIsNotSpentTwice
 try told-of-an-era-that-is-over pkg/prepaid/witness.go 's/max\(req\.Era, firstEra\) < n\.floor \|\| //' pkg/prepaid TestDrawIsNotWitnessedOnceItsEraHasBeenTold
 try apart-groups-meet pkg/meeting/meeting.go 's/if !m\.IsRegistrar\(\) \{/if true {/' pkg/meeting TestHalvesFindEachOtherAfterALongCut
-try listed-are-asked-again pkg/meeting/meeting.go 's/vainTries = 3/vainTries = 0/' pkg/meeting TestInstancesThatStartTogetherAreOneFleet
+try listed-are-asked-again pkg/meeting/meeting.go 's/maxListedAttempts = 3/maxListedAttempts = 0/' pkg/meeting TestInstancesThatStartTogetherAreOneFleet
 try leaving-stays-leaving pkg/registry/registry.go 's/u = r\.doubt\(u\)/_ = r.doubt/' pkg/registry TestLeavingStaysLeavingWhenTheStoreGoesBack
 try later-eras-are-later pkg/store/position.go 's/if p\.Era != other\.Era \{/if false {/' pkg/follow TestCopiesFollowTheStoreIntoALaterEra
 try later-era-is-no-answer platform/store.go 's/if era != since\.Era \{/if false {/' platform TestAnswersOfALaterEraAreNoAnswers
