--- a/pkg/registry/bench_test.go
+++ b/pkg/registry/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkStartOfAll takes in the entries of thousands of upstreams that start together.
+// BenchmarkStartOfAll measures adding the entries of thousands of upstreams that start together.
 func BenchmarkStartOfAll(b *testing.B) {
 	for b.Loop() {
 		r := New(time.Now)
--- a/pkg/registry/entry.go
+++ b/pkg/registry/entry.go
@@ -1,4 +1,4 @@
-// Package registry holds which upstreams are in service, as the store lists them.
+// Package registry tracks which upstreams are in service, according to their entries in the store.
 package registry
 
 import (
@@ -8,29 +8,28 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Upstream is one incarnation of an upstream.
+// Upstream is the entry of one incarnation of an upstream.
 type Upstream struct {
-	// ID names the upstream. One that starts again may keep it.
+	// ID names the upstream; it may be the same after a restart.
 	ID string `json:"id"`
-	// Born is the Unix millisecond of its start, by its own clock; 0 if it is not told.
-	// Another figure under the same ID is another incarnation, which holds and knows
-	// nothing of what the one before did.
+	// Born is the Unix time of its start in milliseconds, by its own clock; 0 if unknown. Another
+	// value under the same ID is another incarnation, which has no state of the previous one.
 	Born    int64  `json:"born,omitempty"`
 	Service string `json:"service"`
-	// Address is its IP address and port; after it has gone the address may
-	// belong to an upstream of another service.
+	// Address is its IP address and port. After the upstream is gone the address may belong to an
+	// upstream of another service.
 	Address string `json:"address"`
 	// Domain is its failure domain.
 	Domain string `json:"domain"`
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int `json:"slots"`
-	// Leaving upstreams finish what runs and take nothing new.
+	// Leaving says that the upstream finishes its running requests and accepts no new ones.
 	Leaving bool `json:"leaving"`
-	// Written is the position of its entry's last change.
+	// Written is the store position of the entry's last change.
 	Written store.Position `json:"-"`
-	// SlowFor is how much longer the upstream is slow after its start.
+	// ColdDuration is how much longer the upstream counts as cold after its start.
 	SlowFor time.Duration `json:"slow_for"`
 }
 
-// Incarnation tells the upstream's process from those before and after it, also under the same ID.
+// Incarnation identifies the upstream's process among all that have used the same ID.
 func (u *Upstream) Incarnation() string { return fmt.Sprint(u.ID, "/", u.Born) }
--- a/pkg/registry/era.go
+++ b/pkg/registry/era.go
@@ -6,68 +6,72 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Bounds of what is remembered of upstreams that left.
+// Bounds on the records of upstreams that left.
 const (
-	// departedFor is for how long: a copy that the store comes back from is some seconds old.
-	departedFor = time.Minute
-	// mostDeparted is how many: of 300 upstreams that are all replaced each leaves once.
-	mostDeparted = 1024
+	// departureLifetime is how long a record is kept: a copy that the store is restored from is
+	// some seconds old.
+	departureLifetime = time.Minute
+	// maxDepartures is how many records are kept: when 300 upstreams are all replaced, each
+	// leaves once.
+	maxDepartures = 1024
 )
 
-// departure is an upstream that had said that it leaves and whose entry is gone.
+// departure records an upstream that announced that it leaves and whose entry is gone.
 type departure struct {
 	born  int64
 	until time.Time
 }
 
-// depart remembers an upstream whose entry goes, if it had said that it leaves; r.mu is held.
-func (r *Registry) depart(u Upstream) {
+// recordDeparture records an upstream whose entry is removed, if it had announced that it leaves;
+// r.mu is held.
+func (r *Registry) recordDeparture(u Upstream) {
 	if !u.Leaving {
 		return
 	}
 	now := r.now()
-	for id, d := range r.departed {
-		if now.After(d.until) || len(r.departed) >= mostDeparted {
-			delete(r.departed, id)
+	for id, d := range r.departures {
+		if now.After(d.until) || len(r.departures) >= maxDepartures {
+			delete(r.departures, id)
 		}
 	}
-	r.departed[u.ID] = departure{born: u.Born, until: now.Add(departedFor)}
+	r.departures[u.ID] = departure{born: u.Born, until: now.Add(departureLifetime)}
 }
 
-// crossEra looks through the first list of a later era. The store came back from a copy: an
-// upstream that has said since that it leaves stands there as in service, and would get work that
-// is cut off when it goes. It counts as leaving until its entry is written again. Entries that the
-// copy lacks may be of live upstreams, which write them again; r.mu is held.
-func (r *Registry) crossEra(list []Upstream) {
-	r.doubted = map[string]store.Position{}
+// startEra adjusts the first list of a later era, in which the store was restored from an older
+// copy. An upstream that announced later than the copy that it leaves is listed there as in service,
+// and would get requests that break off when it exits. It counts as leaving until its entry is
+// written again. Entries that the copy lacks may belong to live upstreams, which write them again;
+// r.mu is held.
+func (r *Registry) startEra(list []Upstream) {
+	r.staleEntries = map[string]store.Position{}
 	for i := range list {
-		if u := &list[i]; !u.Leaving && r.saidItLeaves(u) {
+		if u := &list[i]; !u.Leaving && r.hasAnnouncedLeaving(u) {
 			u.Leaving = true
-			r.doubted[u.ID] = u.Written
+			r.staleEntries[u.ID] = u.Written
 		}
 	}
-	r.returned = r.now()
+	r.outageEndedAt = r.now()
 }
 
-func (r *Registry) saidItLeaves(u *Upstream) bool {
+func (r *Registry) hasAnnouncedLeaving(u *Upstream) bool {
 	if before, known := r.entries[u.ID]; known {
 		return before.Leaving && before.Born == u.Born
 	}
-	d, departed := r.departed[u.ID]
-	return departed && d.born == u.Born && r.now().Before(d.until)
+	d, known := r.departures[u.ID]
+	return known && d.born == u.Born && r.now().Before(d.until)
 }
 
-// doubt returns an entry as it is to be taken: as leaving while the upstream has not written it
-// since the store went back; r.mu is held.
-func (r *Registry) doubt(u Upstream) Upstream {
-	at, doubted := r.doubted[u.ID]
-	if !doubted {
+// withStaleAsLeaving returns an entry as it is to be applied: as leaving if it is stale, that is,
+// the upstream has not written it since the store was restored; r.mu is held.
+func (r *Registry) withStaleAsLeaving(u Upstream) Upstream {
+	stalePosition, stale := r.staleEntries[u.ID]
+	if !stale {
 		return u
 	}
-	if u.Written == at {
+	if u.Written == stalePosition {
 		u.Leaving = true
 		return u
 	}
-	delete(r.doubted, u.ID)
+	delete(r.staleEntries, u.ID)
 	return u
 }
--- a/pkg/registry/occupant.go
+++ b/pkg/registry/occupant.go
@@ -2,68 +2,70 @@
 
 import "time"
 
-// vacatedFor is for how long an address whose upstream's entry is gone is remembered: an upstream that
-// crashed is back within seconds.
-const vacatedFor = 30 * time.Second
+// goneOccupantLifetime is how long the last incarnation at an address is kept after its entry is
+// gone: an upstream that crashed is back within seconds.
+const goneOccupantLifetime = 30 * time.Second
 
-// occupant is the last incarnation at an address.
+// occupant is the last known incarnation at an address.
 type occupant struct {
 	Upstream
-	// gone is when its entry went; zero while it is there.
-	gone time.Time
+	// goneAt is when its entry was removed; zero while the entry exists.
+	goneAt time.Time
 }
 
-// Superseded is an incarnation whose address another one has taken, though it had not said that it
-// leaves.
+// Superseded is an incarnation whose address another one now uses although it had not announced that
+// it leaves, so it probably crashed.
 type Superseded struct {
 	Address     string
 	Incarnation string
-	// Gone is when its entry went, or when the next one was seen if it was still there.
+	// Gone is when its entry was removed, or, if it still existed, when the next incarnation was
+	// seen.
 	Gone time.Time
 }
 
-// occupy notes which incarnation is at an address; r.mu is held.
-func (r *Registry) occupy(u Upstream) {
+// setOccupant records which incarnation is at an address; r.mu is held.
+func (r *Registry) setOccupant(u Upstream) {
 	before, known := r.occupants[u.Address]
 	if known && before.Incarnation() != u.Incarnation() {
 		if !before.Written.Before(u.Written) {
-			return // a list also has the entries of processes that ended before
+			return // a list may still contain entries of processes that have already ended
 		}
 		if !before.Leaving {
-			r.supersede(&before)
+			r.recordSuperseded(&before)
 		}
 	}
 	r.occupants[u.Address] = occupant{Upstream: u}
 }
 
-func (r *Registry) supersede(before *occupant) {
-	gone := before.gone
-	if gone.IsZero() {
-		gone = r.now()
+func (r *Registry) recordSuperseded(before *occupant) {
+	goneAt := before.goneAt
+	if goneAt.IsZero() {
+		goneAt = r.now()
 	}
 	r.superseded = append(r.superseded, Superseded{
-		Address: before.Address, Incarnation: before.Incarnation(), Gone: gone,
+		Address: before.Address, Incarnation: before.Incarnation(), Gone: goneAt,
 	})
 }
 
-// vacate notes that an entry went, and forgets those that went long ago; r.mu is held.
-func (r *Registry) vacate(u *Upstream) {
-	r.forgetVacated()
-	if last, known := r.occupants[u.Address]; known && last.Incarnation() == u.Incarnation() && last.gone.IsZero() {
-		last.gone = r.now()
+// markOccupantGone records that an upstream's entry was removed, and deletes expired records; r.mu is
+// held.
+func (r *Registry) markOccupantGone(u *Upstream) {
+	r.removeGoneOccupants()
+	if last, known := r.occupants[u.Address]; known && last.Incarnation() == u.Incarnation() && last.goneAt.IsZero() {
+		last.goneAt = r.now()
 		r.occupants[u.Address] = last
 	}
 }
 
-func (r *Registry) forgetVacated() {
+func (r *Registry) removeGoneOccupants() {
 	for address, last := range r.occupants {
-		if !last.gone.IsZero() && r.now().Sub(last.gone) > vacatedFor {
+		if !last.goneAt.IsZero() && r.now().Sub(last.goneAt) > goneOccupantLifetime {
 			delete(r.occupants, address)
 		}
 	}
 }
 
-// TakeSuperseded returns, once, the incarnations whose addresses others have taken.
+// TakeSuperseded returns the incarnations that were superseded since the previous call.
 func (r *Registry) TakeSuperseded() []Superseded {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -8,80 +8,81 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// lapseHold is how long an entry that vanished is kept while the store has only
-// just come back: entries of live upstreams that lapsed in an outage are written
-// again within about two seconds of its return.
-const lapseHold = 2200 * time.Millisecond
+// lapsedEntryLifetime is how long a missing entry is kept after the end of a store outage: entries of
+// live upstreams that lapsed during the outage are written again within about two seconds.
+const lapsedEntryLifetime = 2200 * time.Millisecond
 
-// Registry is the list of upstreams. It is safe for concurrent use.
+// Registry holds the entries of upstreams. It is safe for concurrent use.
 type Registry struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// position is the store's that the entries are of; of no version before the first
-	// whole list.
+	// position is the store position that the entries reflect; it is zero before the first full
+	// list.
 	position store.Position
 	entries  map[string]Upstream
-	// vanished holds until when an entry that vanished after an outage is kept.
-	vanished map[string]time.Time
-	// returned is when the store last came back from an outage.
-	returned time.Time
-	// out says that the store is away for all.
-	out    bool
-	byName map[string][]Upstream // in-service upstreams by service, by id
-	// restarted holds the addresses of upstreams that started again under their id.
+	// keptUntil holds, for entries that are missing after an outage, the time until which they are
+	// kept.
+	keptUntil map[string]time.Time
+	// outageEndedAt is when the last store outage ended.
+	outageEndedAt time.Time
+	// storeOut says that the store is unreachable for all instances.
+	storeOut  bool
+	byService map[string][]Upstream // in-service upstreams by service, sorted by ID
+	// restarted holds the addresses of upstreams that restarted under the same ID.
 	restarted []string
-	// departed holds upstreams that left, doubted where an entry stands in the store that says
-	// less than what was known before the store went back (crossEra).
-	departed map[string]departure
-	doubted  map[string]store.Position
-	// occupants holds the last incarnation at each address, superseded those that another one
-	// followed.
+	// departures records upstreams that left, by ID. staleEntries holds the positions of entries
+	// that are older in the restored store than what was known before (startEra).
+	departures   map[string]departure
+	staleEntries map[string]store.Position
+	// occupants holds the last incarnation at each address, superseded those that were followed by
+	// another one without having announced that they leave.
 	occupants  map[string]occupant
 	superseded []Superseded
-	emptied    emptied
-	// left holds the ids of upstreams that were in service and are not any more.
+	emptied    emptiedDomains
+	// left holds the IDs of upstreams that are no longer in service, until TakeLeft.
 	left []string
 }
 
 // New returns an empty registry.
 func New(now func() time.Time) *Registry {
 	return &Registry{
-		now:      now,
-		entries:  map[string]Upstream{},
-		vanished: map[string]time.Time{},
-		byName:   map[string][]Upstream{},
-		departed: map[string]departure{},
+		now:        now,
+		entries:    map[string]Upstream{},
+		keptUntil:  map[string]time.Time{},
+		byService:  map[string][]Upstream{},
+		departures: map[string]departure{},
 
 		occupants: map[string]occupant{},
-		emptied:   emptied{domains: map[string]bool{}, held: map[string]time.Time{}},
+		emptied:   emptiedDomains{domains: map[string]bool{}, retainedUntil: map[string]time.Time{}},
 	}
 }
 
-// StoreOut notes that the store is away for all.
+// OutageStarted records that the store is unreachable for all instances.
 func (r *Registry) StoreOut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out = true
+	r.storeOut = true
 }
 
-// OutageEnded notes that the store came back some time ago after it had been away for all.
+// OutageEnded records that an outage of the store for all instances ended some time ago.
 func (r *Registry) OutageEnded(ago time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out, r.returned = false, r.now().Add(-ago)
+	r.storeOut, r.outageEndedAt = false, r.now().Add(-ago)
 }
 
-// StoreReached notes that the store is not away; others may have reached it all the while.
+// StoreReached records that the store is reachable. It does not count as the end of an outage, since
+// other instances may have reached the store all along.
 func (r *Registry) StoreReached() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out = false
+	r.storeOut = false
 }
 
-// Replace takes a whole list of a position in; entries that it lacks have
-// vanished. An older list than the present one is passed over: a peer's may lag,
-// and would bring upstreams back that have left.
+// Replace applies the full list at a position; entries that it lacks are removed, or kept for a
+// while as Remove does. A list older than the present one is ignored: a peer's list may lag and would
+// bring back upstreams that have left.
 func (r *Registry) Replace(list []Upstream, position store.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +90,7 @@
 		return
 	}
 	if !r.position.IsZero() && position.Era != r.position.Era {
-		r.crossEra(list)
+		r.startEra(list)
 	}
 	r.position = position
 	present := map[string]bool{}
@@ -99,70 +100,71 @@
 	}
 	for id := range r.entries {
 		if !present[id] {
-			r.vanish(id)
+			r.removeOrKeep(id)
 		}
 	}
-	r.changed()
+	r.invalidateIndex()
 }
 
-// Put takes one entry in.
+// Put adds or replaces one entry.
 func (r *Registry) Put(u Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.put(u)
-	r.changed()
+	r.invalidateIndex()
 }
 
 func (r *Registry) put(u Upstream) {
-	u = r.doubt(u)
+	u = r.withStaleAsLeaving(u)
 	if before, known := r.entries[u.ID]; known && before.Born != u.Born {
 		r.restarted = append(r.restarted, before.Address)
 	}
 	if u.Leaving {
-		r.leave(u.ID)
+		r.noteLeft(u.ID)
 	}
-	r.occupy(u)
+	r.setOccupant(u)
 	r.entries[u.ID] = u
-	delete(r.vanished, u.ID)
+	delete(r.keptUntil, u.ID)
 }
 
-// Remove takes one entry out.
+// Remove removes one entry, or keeps it for a while if it may only have lapsed during an outage of
+// the store.
 func (r *Registry) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.vanish(id)
-	r.changed()
+	r.removeOrKeep(id)
+	r.invalidateIndex()
 }
 
-// Discard takes an entry out at once that names no upstream to use any more. It did not
-// lapse, so it is not kept after an outage either.
+// Discard immediately removes an entry that is no longer usable. Since such an entry did not lapse, it
+// is not kept after an outage either.
 func (r *Registry) Discard(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drop(id)
-	r.changed()
+	r.removeEntry(id)
+	r.invalidateIndex()
 }
 
-// drop takes an entry out; r.mu is held.
-func (r *Registry) drop(id string) {
-	r.leave(id)
+// removeEntry removes an entry; r.mu is held.
+func (r *Registry) removeEntry(id string) {
+	r.noteLeft(id)
 	if entry, known := r.entries[id]; known {
-		r.depart(entry)
-		r.vacate(&entry)
+		r.recordDeparture(entry)
+		r.markOccupantGone(&entry)
 	}
 	delete(r.entries, id)
-	delete(r.vanished, id)
+	delete(r.keptUntil, id)
 }
 
-// leave notes that an upstream is to get nothing new, if it was in service; r.mu is held.
-func (r *Registry) leave(id string) {
+// noteLeft records that an upstream gets no new requests, if it was in service; r.mu is held.
+func (r *Registry) noteLeft(id string) {
 	if entry, known := r.entries[id]; known && !entry.Leaving {
 		r.left = append(r.left, id)
 	}
 }
 
-// TakeRestarted returns, once, the addresses of upstreams that started again under their
-// id: connections to them lead nowhere.
+// TakeRestarted returns the addresses of upstreams that restarted under the same ID since the
+// previous call: existing connections to them are dead.
 func (r *Registry) TakeRestarted() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,7 +173,7 @@
 	return addresses
 }
 
-// TakeLeft returns, once, the ids of upstreams that were in service and are not any more.
+// TakeLeft returns the IDs of upstreams that went out of service since the previous call.
 func (r *Registry) TakeLeft() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,86 +182,86 @@
 	return left
 }
 
-// vanish removes an entry, or keeps it for a while if it may only have lapsed
-// because the store was away: else all upstreams would be given up at once at
-// the end of each outage, and every request refused.
-func (r *Registry) vanish(id string) {
+// removeOrKeep removes an entry, or keeps it for a while if it may only have lapsed because the store
+// was unreachable: otherwise all upstreams would be removed at the end of each outage, and every
+// request refused. r.mu is held.
+func (r *Registry) removeOrKeep(id string) {
 	entry, known := r.entries[id]
 	if !known {
 		return
 	}
-	if until, waits := r.vanished[id]; waits && r.now().Before(until) {
+	if until, kept := r.keptUntil[id]; kept && r.now().Before(until) {
 		return
 	}
-	from := r.returned
-	if r.out { // what is read first tells that it is back
-		from = r.now()
+	outageEnd := r.outageEndedAt
+	if r.storeOut { // the first successful read shows that the outage is over
+		outageEnd = r.now()
 	}
-	recent := r.now().Sub(from) < lapseHold
-	if recent && !from.IsZero() && !entry.Leaving && r.vanished[id].IsZero() {
-		r.vanished[id] = from.Add(lapseHold)
+	recent := r.now().Sub(outageEnd) < lapsedEntryLifetime
+	if recent && !outageEnd.IsZero() && !entry.Leaving && r.keptUntil[id].IsZero() {
+		r.keptUntil[id] = outageEnd.Add(lapsedEntryLifetime)
 		return
 	}
-	r.drop(id)
+	r.removeEntry(id)
 }
 
-// Expire removes the entries whose time to come back is over, and returns the
-// addresses that no entry names any more.
+// Expire removes the lapsed entries that were not written again in time, and returns their addresses.
 func (r *Registry) Expire() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var gone []string
-	for id, until := range r.vanished {
+	for id, until := range r.keptUntil {
 		if r.now().Before(until) {
 			continue
 		}
 		gone = append(gone, r.entries[id].Address)
-		r.drop(id)
+		r.removeEntry(id)
 	}
 	if len(gone) > 0 {
-		r.changed()
+		r.invalidateIndex()
 	}
 	return gone
 }
 
-// changed has the next reader index the upstreams anew: changes come many at a time, and thousands where
-// all upstreams of a large service start; r.mu is held.
-func (r *Registry) changed() { r.byName = nil }
+// invalidateIndex makes the next reader rebuild the index. Changes come many at a time, thousands when
+// all upstreams of a large service start, so the index is not rebuilt for each; r.mu is held.
+func (r *Registry) invalidateIndex() { r.byService = nil }
 
-// index returns the upstreams in service; r.mu is held.
-func (r *Registry) index() map[string][]Upstream {
-	if r.byName != nil {
-		return r.byName
+// indexByService returns the upstreams in service by service, rebuilding the index if needed; r.mu is
+// held.
+func (r *Registry) indexByService() map[string][]Upstream {
+	if r.byService != nil {
+		return r.byService
 	}
-	byName := map[string][]Upstream{}
+	byService := map[string][]Upstream{}
 	for _, u := range r.entries {
 		if !u.Leaving && !r.emptied.domains[u.Domain] {
-			byName[u.Service] = append(byName[u.Service], u)
+			byService[u.Service] = append(byService[u.Service], u)
 		}
 	}
-	for _, list := range byName {
+	for _, list := range byService {
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	}
-	r.byName = byName
-	return byName
+	r.byService = byService
+	return byService
 }
 
-// InService returns a service's upstreams that take requests, ordered by id. The
-// slice must not be changed.
+// InService returns a service's upstreams that accept requests, ordered by ID. The slice must not be
+// modified.
 func (r *Registry) InService(service string) []Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.index()[service]
+	return r.indexByService()[service]
 }
 
-// Reached notes that every change up to a position has been taken in.
+// AdvanceTo records that every change up to a position has been applied.
 func (r *Registry) Reached(position store.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.position = store.Later(r.position, position)
 }
 
-// Synced reports that a whole list has been read once.
+// Synced reports whether a full list has been read at least once.
 func (r *Registry) Synced() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -19,8 +19,8 @@
 	return r, c
 }
 
-// An upstream says that it leaves, or its entry goes without a word. From then on
-// it is not chosen: it would be gone before new work ends.
+// Guards against new requests for an upstream that announced that it leaves, or whose entry was
+// removed without an announcement: it would be gone before they end.
 func TestLeavingUpstreamIsOutAtOnce(t *testing.T) {
 	r, _ := newTestRegistry()
 	r.Put(Upstream{ID: "a", Service: "s", Address: "1", Leaving: true})
@@ -30,9 +30,9 @@
 	}
 }
 
-// The store was away and entries lapsed meanwhile, so that its first answer lists
-// none. The callers' requests go on to the upstreams that were there; one whose
-// entry is not back two seconds after the store's return is given up.
+// Guards against refused requests after a store outage in which entries lapsed, so that the first
+// list is empty. Requests still go to the known upstreams; one whose entry is not back two seconds
+// after the outage is removed.
 func TestLapsedEntriesAreKeptUntilTheyCanBeBack(t *testing.T) {
 	r, c := newTestRegistry()
 	r.StoreOut()
@@ -46,14 +46,14 @@
 	c.advance(2300 * time.Millisecond)
 	gone := r.Expire()
 	if len(gone) != 1 || gone[0] != "2" {
-		t.Errorf("given up: %v", gone)
+		t.Errorf("removed: %v, want address 2", gone)
 	}
 	if left := r.InService("s"); len(left) != 1 || left[0].ID != "a" {
 		t.Errorf("in service: %v", left)
 	}
 }
 
-// A peer that lags tells of an upstream that has left. It stays out.
+// Guards against an upstream that has left but is brought back by the older list of a lagging peer.
 func TestOlderListBringsNothingBack(t *testing.T) {
 	r, _ := newTestRegistry()
 	r.Remove("a")
@@ -61,13 +61,13 @@
 	r.Replace([]Upstream{{ID: "a", Service: "s", Address: "1"}}, store.At(6))
 	for _, u := range r.InService("s") {
 		if u.ID == "a" {
-			t.Error("an older list brought it back")
+			t.Error("an older list brought a removed upstream back")
 		}
 	}
 }
 
-// An upstream that was leaving starts again under its id. Its new entry is in service, and
-// the connections to the process before are given up, once.
+// An upstream that was leaving restarts under the same ID. Its new entry is in service, and the
+// address is reported once, so that connections to the previous process are closed.
 func TestRestartedUpstreamIsANewOne(t *testing.T) {
 	r, _ := newTestRegistry()
 	r.Put(Upstream{ID: "a", Service: "s", Address: "1", Born: 10, Leaving: true})
@@ -81,8 +81,8 @@
 	}
 }
 
-// An entry turns unusable just after the store came back from an outage, when entries that
-// vanish are kept for a while. This one did not vanish: it is out at once.
+// Guards against an entry that becomes unusable just after a store outage and is kept for a while like
+// one that lapsed: it must be out of service at once.
 func TestDiscardedEntryIsNotKeptAfterAnOutage(t *testing.T) {
 	r, _ := newTestRegistry()
 	r.OutageEnded(0)
@@ -92,8 +92,9 @@
 	}
 }
 
-// Operators ask when an instance stopped giving work to an upstream. Each that leaves or goes is
-// told once, whichever way it went, and one that was leaving already is not told again.
+// Operators need to know when an instance stopped sending requests to an upstream. Each upstream that
+// goes out of service is reported once, for whatever reason; one that was already leaving is not
+// reported again.
 func TestUpstreamsThatLeftAreToldOnce(t *testing.T) {
 	r := New(time.Now)
 	r.Replace([]Upstream{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}}, store.At(1))
@@ -101,18 +102,18 @@
 	r.Remove("b")
 	r.Discard("c")
 	if left := fmt.Sprint(r.TakeLeft()); left != "[a b c]" {
-		t.Errorf("told %s", left)
+		t.Errorf("reported as left: %s", left)
 	}
 	r.Put(Upstream{ID: "a", Leaving: true})
 	r.Remove("a")
 	if left := r.TakeLeft(); len(left) != 0 {
-		t.Errorf("told again: %v", left)
+		t.Errorf("reported as left again: %v", left)
 	}
 }
 
-// A request reaches an upstream that had said that it leaves, or had gone, before the store came
-// back from a copy in which it is in service. It stays out until it is seen to write otherwise;
-// the others, whose entries the copy lacks, stay in for as long as they need to write again.
+// Guards against requests to an upstream that was leaving or gone before the store was restored from
+// an older copy that lists it as in service. It stays out of service until it writes its entry again;
+// upstreams whose entries the copy lacks stay in service for the time they need to write them again.
 func TestLeavingStaysLeavingWhenTheStoreGoesBack(t *testing.T) {
 	r, c := newTestRegistry()
 	entry := func(id string, version store.Version) Upstream {
@@ -132,25 +133,26 @@
 		}
 		return ids
 	}
-	began := []Upstream{entry("a", 3), entry("b", 3), entry("c", 3)}
-	r.Replace(began, store.Position{Era: 2, Version: 4})
+	restored := []Upstream{entry("a", 3), entry("b", 3), entry("c", 3)}
+	r.Replace(restored, store.Position{Era: 2, Version: 4})
 	if got := inService(); got != "cd" {
-		t.Errorf("in service after the store went back: %s", got)
+		t.Errorf("in service after the store was restored: %s", got)
 	}
 	r.Replace([]Upstream{entry("a", 3), entry("b", 3), entry("c", 3), entry("d", 5)}, store.Position{Era: 2, Version: 6})
 	if got := inService(); got != "cd" {
-		t.Errorf("in service by a second list: %s", got)
+		t.Errorf("in service after a second list: %s", got)
 	}
 	r.Put(entry("a", 7))
-	c.advance(lapseHold)
+	c.advance(lapsedEntryLifetime)
 	r.Expire()
 	if got := inService(); got != "acd" {
-		t.Errorf("in service after it wrote again: %s", got)
+		t.Errorf("in service after a wrote its entry again: %s", got)
 	}
 }
 
-// Guards against crashes that are not known, or planned stops that are taken for crashes, because the
-// next process at an address is not told of, or one that had said that it leaves is.
+// Guards against missed crashes, when the next process at an address does not supersede the previous
+// one, and against planned stops counted as crashes, when an incarnation that had announced that it
+// leaves is reported as superseded.
 func TestSupersededIncarnationsAreTold(t *testing.T) {
 	r, c := newTestRegistry()
 	entry := func(id, address string, version store.Version, leaving bool) Upstream {
@@ -167,14 +169,14 @@
 	r.Put(entry("next at 1", "1", 10, false))
 	r.Put(entry("next at 2", "2", 11, false))
 	r.Put(entry("next at 3", "3", 12, false))
-	r.Put(entry("crashed", "1", 6, false)) // a list has it still
+	r.Put(entry("crashed", "1", 6, false)) // a list still contains it
 	got := fmt.Sprint(r.TakeSuperseded())
 	want := fmt.Sprint([]Superseded{{"1", "crashed/0", c.now}, {"3", "lapsed/0", gone}})
 	if got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 	if again := r.TakeSuperseded(); len(again) != 0 {
-		t.Errorf("told again: %v", again)
+		t.Errorf("reported as superseded again: %v", again)
 	}
 }
 
@@ -186,8 +188,8 @@
 	return ids
 }
 
-// Guards against work for upstreams of a domain that operators have emptied: those there, those that
-// start there meanwhile, and after a list that says so again.
+// Guards against requests to upstreams of a domain that operators have emptied: those that exist,
+// those that start there later, and all of them after another list that contains the domain.
 func TestEmptiedDomainIsOutUntilItIsRestored(t *testing.T) {
 	r := New(time.Now)
 	r.Replace([]Upstream{{ID: "a", Service: "s", Domain: "x"}, {ID: "b", Service: "s", Domain: "y"}}, store.At(1))
@@ -204,15 +206,15 @@
 	}
 	r.Restore("x")
 	if got := inService(r); got != "abc" {
-		t.Errorf("in service after it was taken back: %s", got)
+		t.Errorf("in service after the domain was restored: %s", got)
 	}
 	if got := fmt.Sprint(r.TakeDomainChanges()); got != "[{x true} {x false}]" {
-		t.Errorf("told %s", got)
+		t.Errorf("domain changes are %s", got)
 	}
 }
 
-// Guards against work for an emptied domain in the seconds after the store came back from a copy that
-// is older than the operators' word.
+// Guards against requests to an emptied domain in the seconds after the store was restored from a copy
+// that is older than the operators' change.
 func TestEmptiedDomainStaysOutWhenTheStoreGoesBack(t *testing.T) {
 	r, c := newTestRegistry()
 	r.Replace([]Upstream{{ID: "a", Service: "s", Domain: "x"}, {ID: "b", Service: "s", Domain: "y"}}, store.At(6))
@@ -223,9 +225,9 @@
 	if got := inService(r); got != "" {
 		t.Errorf("in service: %s", got)
 	}
-	c.advance(emptiedHold)
+	c.advance(lostEmptiedLifetime)
 	r.ExpireEmptied()
 	if got := inService(r); got != "b" {
-		t.Errorf("in service once nobody has emptied it again: %s", got)
+		t.Errorf("in service after the lost domain expired: %s", got)
 	}
 }
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -97,7 +97,7 @@
 try told-of-an-era-that-is-over pkg/prepaid/witness.go 's/max\(req\.Era, firstEra\) < n\.floor \|\| //' pkg/prepaid TestDrawIsNotWitnessedOnceItsEraHasBeenTold
 try apart-groups-meet pkg/meeting/meeting.go 's/if !m\.IsRegistrar\(\) \{/if true {/' pkg/meeting TestHalvesFindEachOtherAfterALongCut
 try listed-are-asked-again pkg/meeting/meeting.go 's/maxListedAttempts = 3/maxListedAttempts = 0/' pkg/meeting TestInstancesThatStartTogetherAreOneFleet
-try leaving-stays-leaving pkg/registry/registry.go 's/u = r\.doubt\(u\)/_ = r.doubt/' pkg/registry TestLeavingStaysLeavingWhenTheStoreGoesBack
+try leaving-stays-leaving pkg/registry/registry.go 's/u = r\.withStaleAsLeaving\(u\)/_ = r.withStaleAsLeaving/' pkg/registry TestLeavingStaysLeavingWhenTheStoreGoesBack
 try later-eras-are-later pkg/store/position.go 's/if p\.Era != other\.Era \{/if false {/' pkg/follow TestCopiesFollowTheStoreIntoALaterEra
 try later-era-is-no-answer platform/store.go 's/if era != since\.Era \{/if false {/' platform TestAnswersOfALaterEraAreNoAnswers
 try higher-number-is-handed-on pkg/follow/contents.go 's/c\.kept\[now\.Key\] = true\n\tnow\.Value = before\.Value/_ = before/' pkg/follow TestDocumentOfAHigherNumberIsHandedOn
@@ -134,7 +134,7 @@
 try passed-over-writes-pause pkg/prepaid/write.go 's/errors\.Is\(f\.err, errUnsettledYet\)/errors.Is(f.err, ErrUnsettled)/' pkg/prepaid TestLedgerOfAnEraTakenForOverIsNotWrittenWithoutAPause
 try emptied-domains-are-out pkg/registry/registry.go 's/ && !r\.emptied\.domains\[u\.Domain\]//' test TestEmptiedDomainGetsNothing
 try own-door-knows-emptied-domains pkg/dispatch/picker.go 's/ \|\| p\.emptied\[upstream\.Domain\]//' test TestOwnDoorSendsNothingToAnEmptiedDomain
-try emptied-stay-in-a-later-era pkg/registry/emptied.go 's/case crossed:/case crossed && e.held == nil:/' pkg/registry TestEmptiedDomainStaysOutWhenTheStoreGoesBack
+try emptied-stay-in-a-later-era pkg/registry/emptied.go 's/case newEra:/case newEra && e.retainedUntil == nil:/' pkg/registry TestEmptiedDomainStaysOutWhenTheStoreGoesBack
 try older-lists-restore-nothing pkg/registry/emptied.go 's/if position\.Before\(e\.position\) \{/if false {/' pkg/registry TestEmptiedDomainIsOutUntilItIsRestored
 try cold-limit-at-the-choice pkg/placement/pool.go 's/ \|\| !p\.mayTake\(s, now\)//' pkg/placement TestColdUpstreamGetsWhatItTakes
 try returned-are-cold pkg/placement/pool.go 's/noteReturned\(before,/noteReturned(before[:0],/' pkg/placement TestReturnedUpstreamIsTakenForCold
