--- a/pkg/member/fleet_test.go
+++ b/pkg/member/fleet_test.go
@@ -200,15 +200,15 @@
 	probers := n.Table.MarkMissed(m.Incarnation)
 	result := IndirectProbeResult{Requested: len(probers)}
 	target := n.sim.nodeOf(m)
-	for _, helper := range probers {
-		requestArrived, _ := n.sim.transmit(n, n.sim.nodeOf(helper))
-		replyArrived, _ := n.sim.transmit(n.sim.nodeOf(helper), n)
+	for _, prober := range probers {
+		requestArrived, _ := n.sim.transmit(n, n.sim.nodeOf(prober))
+		replyArrived, _ := n.sim.transmit(n.sim.nodeOf(prober), n)
 		if !requestArrived || !replyArrived {
 			continue
 		}
 		result.Answered++
-		probeArrived, _ := n.sim.transmit(n.sim.nodeOf(helper), target)
-		probeAnswered, delay := n.sim.transmit(target, n.sim.nodeOf(helper))
+		probeArrived, _ := n.sim.transmit(n.sim.nodeOf(prober), target)
+		probeAnswered, delay := n.sim.transmit(target, n.sim.nodeOf(prober))
 		sameProcess := target.Table.Self().Incarnation == m.Incarnation
 		result.Reached = result.Reached || (probeArrived && probeAnswered && sameProcess && delay < probeTimeout)
 	}
--- a/pkg/member/gossip.go
+++ b/pkg/member/gossip.go
@@ -140,7 +140,8 @@
 func (g *Gossip) Round(ctx context.Context) {
 	var round sync.WaitGroup
 	for _, m := range g.Table.NextRound() {
-		round.Go(func() { _ = g.SendHeartbeat(ctx, m.Incarnation, m.PeerAddress) }) // the table detects silence by the time of the last message
+		// An error is ignored: the table detects silence by the time of the last message.
+		round.Go(func() { _ = g.SendHeartbeat(ctx, m.Incarnation, m.PeerAddress) })
 	}
 	round.Wait()
 }
--- a/pkg/member/prober.go
+++ b/pkg/member/prober.go
@@ -14,8 +14,8 @@
 // period, whatever the fleet's size. A member that does not answer is probed indirectly through
 // other members, so that a bad link between two instances does not count as silence. If that fails
 // too, the member is suspected; the suspicion is disseminated to all, including the member itself,
-// which has some time to refute it. An instance that reaches no other member suspects nobody, since
-// it is most likely cut off itself.
+// which has some time to refute it. An instance that reaches no other member suspects nobody before
+// unconfirmedSilenceTimeout, since it is most likely cut off itself.
 const (
 	// protocolPeriod is the interval at which an instance sends heartbeats. At five periods a
 	// second, each member receives five heartbeats a second on average, so that some instance
@@ -69,7 +69,8 @@
 		}
 	case <-time.After(indirectProbeDelay):
 	}
-	if ctx.Err() == nil { // the error itself is not reported: a lasting failure is logged as the member's silence
+	// The error itself is not reported: a lasting failure is logged as the member's silence.
+	if ctx.Err() == nil {
 		g.Table.ApplyProbeResult(m.Incarnation, g.probeIndirectly(ctx, g.Table.MarkMissed(m.Incarnation), m))
 	}
 }
@@ -81,9 +82,9 @@
 		err     error
 	}
 	answers := make(chan answer, len(probers))
-	for _, helper := range probers {
+	for _, prober := range probers {
 		go func() {
-			reached, err := g.Probe(ctx, helper.PeerAddress, m)
+			reached, err := g.Probe(ctx, prober.PeerAddress, m)
 			answers <- answer{reached, err}
 		}()
 	}
--- a/pkg/member/updates.go
+++ b/pkg/member/updates.go
@@ -26,8 +26,8 @@
 // that member.
 type pendingUpdates map[string]int
 
-func (n pendingUpdates) add(incarnation string)    { n[incarnation] = 0 }
-func (n pendingUpdates) remove(incarnation string) { delete(n, incarnation) }
+func (p pendingUpdates) add(incarnation string)    { p[incarnation] = 0 }
+func (p pendingUpdates) remove(incarnation string) { delete(p, incarnation) }
 
 // nextUpdates returns the members to include in a message, those sent least often first, and
 // counts the transmission; t.mu is held.
@@ -60,7 +60,8 @@
 	defer t.mu.Unlock()
 	e := t.entries[incarnation]
 	var updates []*memberpb.Member
-	if e == nil || !e.missedHeartbeat { // an update sent to a dead member would count as sent but reach nobody
+	// An update sent to a dead member would count as sent but reach nobody.
+	if e == nil || !e.missedHeartbeat {
 		updates = t.nextUpdates()
 	}
 	if e != nil && e.member.State != memberpb.State_ALIVE {
