--- a/pkg/peer/client.go
+++ b/pkg/peer/client.go
@@ -1,4 +1,4 @@
-// Package peer carries the slices' messages between instances over drpc.
+// Package peer carries the messages of the other packages between instances over drpc.
 package peer
 
 import (
@@ -24,28 +24,28 @@
 
 // Bounds of the client.
 const (
-	// callTimeout bounds one call; what is asked is answered from memory or by
-	// one write to the store.
+	// callTimeout bounds one call; the peer answers from memory or after one write to the store.
 	callTimeout = 2 * time.Second
-	// heartbeatTimeout bounds a heartbeat and a confirmation of copies of the store.
+	// heartbeatTimeout bounds a heartbeat, a confirmation of copies of the store and an exchange of
+	// quarantine records.
 	heartbeatTimeout = 500 * time.Millisecond
-	// probeTimeout bounds a question whether a member answers another instance.
+	// probeTimeout bounds an indirect probe, in which the peer probes a member.
 	probeTimeout = 400 * time.Millisecond
-	// dialTimeout bounds a connection's set-up.
+	// dialTimeout bounds the time to establish a TCP connection.
 	dialTimeout = 500 * time.Millisecond
-	// idleExpiry closes a pooled connection that is not used.
-	idleExpiry = time.Minute
-	// connectionsPerPeer bounds the pool; drpc carries one call at a time on a
+	// idleTimeout is the time after which an unused pooled connection is closed.
+	idleTimeout = time.Minute
+	// maxConnectionsPerPeer bounds the pool of an address; drpc carries one call at a time on a
 	// connection.
-	connectionsPerPeer = 16
+	maxConnectionsPerPeer = 16
 )
 
-// ErrUnknownPeer means that no address is known for an incarnation.
+// ErrUnknownPeer means that the address of an incarnation is unknown.
 var ErrUnknownPeer = errors.New("peer is not known")
 
-// CallError tells which call to which peer failed.
+// CallError reports which call to which peer failed.
 type CallError struct {
-	// Step is the call; Peer is the incarnation or the address.
+	// Step is the name of the call; Peer is the incarnation or the address.
 	Step, Peer string
 	// Err is the cause.
 	Err error
@@ -59,25 +59,25 @@
 
 // Client calls other instances. It is safe for concurrent use.
 type Client struct {
-	address func(incarnation string) string
-	heard   func(incarnation string)
-	traffic *Traffic
-	tls     *tls.Config
+	address  func(incarnation string) string
+	onAnswer func(incarnation string)
+	traffic  *Traffic
+	tls      *tls.Config
 
 	mu    sync.Mutex
 	pools map[string]*drpcpool.Pool[string, drpcpool.Conn]
 }
 
-// NewClient returns a client. address finds an incarnation's peer address;
-// heard is told of each incarnation that answered; traffic counts the bytes;
-// tlsConfig is nil for plain connections.
-func NewClient(address func(string) string, heard func(string), traffic *Traffic, tlsConfig *tls.Config) *Client {
+// NewClient returns a client. address returns an incarnation's peer address, or an empty string;
+// onAnswer is called with each incarnation that answered; traffic counts the bytes; tlsConfig is nil
+// for plain connections.
+func NewClient(address func(string) string, onAnswer func(string), traffic *Traffic, tlsConfig *tls.Config) *Client {
 	return &Client{
-		address: address,
-		heard:   heard,
-		traffic: traffic,
-		tls:     tlsConfig,
-		pools:   map[string]*drpcpool.Pool[string, drpcpool.Conn]{},
+		address:  address,
+		onAnswer: onAnswer,
+		traffic:  traffic,
+		tls:      tlsConfig,
+		pools:    map[string]*drpcpool.Pool[string, drpcpool.Conn]{},
 	}
 }
 
@@ -97,19 +97,19 @@
 	pool := c.pools[address]
 	if pool == nil {
 		pool = drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
-			Expiration:  idleExpiry,
-			Capacity:    connectionsPerPeer,
-			KeyCapacity: connectionsPerPeer,
+			Expiration:  idleTimeout,
+			Capacity:    maxConnectionsPerPeer,
+			KeyCapacity: maxConnectionsPerPeer,
 		})
 		c.pools[address] = pool
 	}
 	return pool
 }
 
-// dropPool closes every connection to an address. A call that got no answer in
-// time may have met a connection that something between the two ends has lost
-// track of; the others of its age are no better, and each would cost a timeout.
-func (c *Client) dropPool(address string) {
+// closePool closes every connection to an address. A call that timed out may have used a connection
+// whose state was lost by a device between the two ends; other connections of the same age are
+// probably in the same state, and each would cost a timeout.
+func (c *Client) closePool(address string) {
 	c.mu.Lock()
 	pool := c.pools[address]
 	delete(c.pools, address)
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	counted := c.traffic.count(raw)
+	counted := c.traffic.countConn(raw)
 	if c.tls == nil {
 		return drpcconn.New(counted), nil
 	}
@@ -137,23 +137,23 @@
 	return drpcconn.New(secured), nil
 }
 
-// to makes one call to an incarnation.
-func to[Reply any](
+// callIncarnation makes one call to an incarnation at its known address.
+func callIncarnation[Reply any](
 	ctx context.Context, c *Client, step, incarnation string, call func(context.Context, drpc.Conn) (Reply, error),
 ) (Reply, error) {
-	var none Reply
+	var zero Reply
 	address := c.address(incarnation)
 	if address == "" {
-		return none, &CallError{Step: step, Peer: incarnation, Err: ErrUnknownPeer}
+		return zero, &CallError{Step: step, Peer: incarnation, Err: ErrUnknownPeer}
 	}
-	reply, err := at(ctx, c, step, address, callTimeout, call)
+	reply, err := callAddress(ctx, c, step, address, callTimeout, call)
 	if err == nil {
-		c.heard(incarnation)
+		c.onAnswer(incarnation)
 	}
 	return reply, err
 }
 
-func at[Reply any](
+func callAddress[Reply any](
 	ctx context.Context, c *Client, step, address string, timeout time.Duration,
 	call func(context.Context, drpc.Conn) (Reply, error),
 ) (Reply, error) {
@@ -164,7 +164,7 @@
 	reply, err := call(ctx, conn)
 	if err != nil {
 		if ctx.Err() != nil {
-			c.dropPool(address)
+			c.closePool(address)
 		}
 		return reply, &CallError{Step: step, Peer: address, Err: err}
 	}
@@ -175,7 +175,7 @@
 func (c *Client) Allocate(
 	ctx context.Context, incarnation string, req *budgetpb.AllocateRequest,
 ) (*budgetpb.AllocateReply, error) {
-	return to(ctx, c, "allocate", incarnation, func(ctx context.Context, conn drpc.Conn) (*budgetpb.AllocateReply, error) {
+	return callIncarnation(ctx, c, "allocate", incarnation, func(ctx context.Context, conn drpc.Conn) (*budgetpb.AllocateReply, error) {
 		return budgetpb.NewDRPCBudgetsClient(conn).Allocate(ctx, req)
 	})
 }
@@ -184,7 +184,7 @@
 func (c *Client) Recall(
 	ctx context.Context, incarnation string, req *budgetpb.RecallRequest,
 ) (*budgetpb.RecallReply, error) {
-	return to(ctx, c, "recall", incarnation, func(ctx context.Context, conn drpc.Conn) (*budgetpb.RecallReply, error) {
+	return callIncarnation(ctx, c, "recall", incarnation, func(ctx context.Context, conn drpc.Conn) (*budgetpb.RecallReply, error) {
 		return budgetpb.NewDRPCBudgetsClient(conn).Recall(ctx, req)
 	})
 }
@@ -193,7 +193,7 @@
 func (c *Client) Report(
 	ctx context.Context, incarnation string, req *budgetpb.ReportRequest,
 ) (*budgetpb.ReportReply, error) {
-	return to(ctx, c, "report", incarnation, func(ctx context.Context, conn drpc.Conn) (*budgetpb.ReportReply, error) {
+	return callIncarnation(ctx, c, "report", incarnation, func(ctx context.Context, conn drpc.Conn) (*budgetpb.ReportReply, error) {
 		return budgetpb.NewDRPCBudgetsClient(conn).Report(ctx, req)
 	})
 }
@@ -202,14 +202,14 @@
 func (c *Client) Sign(
 	ctx context.Context, incarnation string, req *budgetpb.SignRequest,
 ) (*budgetpb.SignReply, error) {
-	return to(ctx, c, "sign", incarnation, func(ctx context.Context, conn drpc.Conn) (*budgetpb.SignReply, error) {
+	return callIncarnation(ctx, c, "sign", incarnation, func(ctx context.Context, conn drpc.Conn) (*budgetpb.SignReply, error) {
 		return budgetpb.NewDRPCBudgetsClient(conn).Sign(ctx, req)
 	})
 }
 
 // Keep implements bill.Peers.
 func (c *Client) Keep(ctx context.Context, incarnation string, req *billpb.KeepRequest) (*billpb.KeepReply, error) {
-	return to(ctx, c, "keep", incarnation, func(ctx context.Context, conn drpc.Conn) (*billpb.KeepReply, error) {
+	return callIncarnation(ctx, c, "keep", incarnation, func(ctx context.Context, conn drpc.Conn) (*billpb.KeepReply, error) {
 		return billpb.NewDRPCBillsClient(conn).Keep(ctx, req)
 	})
 }
@@ -217,7 +217,7 @@
 // Lend implements prepaid.Peers.
 func (c *Client) Lend(ctx context.Context, incarnation, budget string, need, ahead int64) (int64, error) {
 	req := &prepaidpb.LendRequest{Budget: budget, Need: need, Ahead: ahead}
-	reply, err := to(ctx, c, "lend", incarnation, func(ctx context.Context, conn drpc.Conn) (*prepaidpb.LendReply, error) {
+	reply, err := callIncarnation(ctx, c, "lend", incarnation, func(ctx context.Context, conn drpc.Conn) (*prepaidpb.LendReply, error) {
 		return prepaidpb.NewDRPCLoansClient(conn).Lend(ctx, req)
 	})
 	if err != nil {
@@ -226,27 +226,27 @@
 	return reply.Tokens, nil
 }
 
-// Refill reports to an instance that draws tokens for the failure domain.
+// Refill reports to an instance that draws tokens for the failure domain and returns its reply.
 func (c *Client) Refill(
 	ctx context.Context, incarnation string, req *prepaidpb.RefillRequest,
 ) (*prepaidpb.RefillReply, error) {
-	return to(ctx, c, "refill", incarnation, func(ctx context.Context, conn drpc.Conn) (*prepaidpb.RefillReply, error) {
+	return callIncarnation(ctx, c, "refill", incarnation, func(ctx context.Context, conn drpc.Conn) (*prepaidpb.RefillReply, error) {
 		return prepaidpb.NewDRPCLoansClient(conn).Refill(ctx, req)
 	})
 }
 
-// Witness has an instance remember what this one has drawn.
+// Witness requests that an instance record what this one has drawn.
 func (c *Client) Witness(
 	ctx context.Context, incarnation string, req *prepaidpb.WitnessRequest,
 ) (*prepaidpb.WitnessReply, error) {
-	return to(ctx, c, "witness", incarnation, func(ctx context.Context, conn drpc.Conn) (*prepaidpb.WitnessReply, error) {
+	return callIncarnation(ctx, c, "witness", incarnation, func(ctx context.Context, conn drpc.Conn) (*prepaidpb.WitnessReply, error) {
 		return prepaidpb.NewDRPCLoansClient(conn).Witness(ctx, req)
 	})
 }
 
-// RecallTokens tells an instance that a budget is short.
+// RecallTokens notifies an instance that a budget is short of tokens.
 func (c *Client) RecallTokens(ctx context.Context, incarnation, budget string) error {
-	_, err := to(ctx, c, "recall-tokens", incarnation, func(ctx context.Context, conn drpc.Conn) (*prepaidpb.RecallReply, error) {
+	_, err := callIncarnation(ctx, c, "recall-tokens", incarnation, func(ctx context.Context, conn drpc.Conn) (*prepaidpb.RecallReply, error) {
 		return prepaidpb.NewDRPCLoansClient(conn).Recall(ctx, &prepaidpb.RecallRequest{Budget: budget})
 	})
 	return err
@@ -254,54 +254,55 @@
 
 // Heartbeat exchanges digests with the instance at an address.
 func (c *Client) Heartbeat(ctx context.Context, address string, digest *memberpb.Digest) (*memberpb.Digest, error) {
-	return at(ctx, c, "heartbeat", address, heartbeatTimeout,
+	return callAddress(ctx, c, "heartbeat", address, heartbeatTimeout,
 		func(ctx context.Context, conn drpc.Conn) (*memberpb.Digest, error) {
 			return memberpb.NewDRPCMembersClient(conn).Heartbeat(ctx, digest)
 		})
 }
 
-// Probe has the instance at an address probe a member.
+// Probe requests that the instance at an address probe a member, and reports whether it answered.
 func (c *Client) Probe(ctx context.Context, address string, suspect *memberpb.Member) (bool, error) {
 	req := &memberpb.ProbeRequest{Incarnation: suspect.Incarnation, Address: suspect.PeerAddress}
-	reply, err := at(ctx, c, "probe", address, probeTimeout,
+	reply, err := callAddress(ctx, c, "probe", address, probeTimeout,
 		func(ctx context.Context, conn drpc.Conn) (*memberpb.ProbeReply, error) {
 			return memberpb.NewDRPCMembersClient(conn).Probe(ctx, req)
 		})
 	return reply.GetAnswered(), err
 }
 
-// Confirm tells the instance at an address what was read from the store.
+// Confirm sends the instance at an address a confirmation of what was read from the store.
 func (c *Client) Confirm(ctx context.Context, address string, confirmation *followpb.Confirmation) error {
-	_, err := at(ctx, c, "confirm", address, heartbeatTimeout,
+	_, err := callAddress(ctx, c, "confirm", address, heartbeatTimeout,
 		func(ctx context.Context, conn drpc.Conn) (*followpb.ConfirmReply, error) {
 			return followpb.NewDRPCCopiesClient(conn).Confirm(ctx, confirmation)
 		})
 	return err
 }
 
-// ExchangeQuarantine tells the instance at an address of requests that crashed upstreams.
+// ExchangeQuarantine exchanges records of requests that crashed upstreams with the instance at an
+// address.
 func (c *Client) ExchangeQuarantine(
 	ctx context.Context, address string, records *quarantinepb.Records,
 ) (*quarantinepb.Records, error) {
-	return at(ctx, c, "exchange-quarantine", address, heartbeatTimeout,
+	return callAddress(ctx, c, "exchange-quarantine", address, heartbeatTimeout,
 		func(ctx context.Context, conn drpc.Conn) (*quarantinepb.Records, error) {
 			return quarantinepb.NewDRPCQuarantineClient(conn).Exchange(ctx, records)
 		})
 }
 
-// FetchChanges asks the instance at an address for what changed of a copy of the store.
+// FetchChanges requests the changes of a copy of the store from the instance at an address.
 func (c *Client) FetchChanges(
 	ctx context.Context, address string, request *followpb.FetchRequest,
 ) (*followpb.FetchReply, error) {
-	return at(ctx, c, "fetch-changes", address, callTimeout,
+	return callAddress(ctx, c, "fetch-changes", address, callTimeout,
 		func(ctx context.Context, conn drpc.Conn) (*followpb.FetchReply, error) {
 			return followpb.NewDRPCCopiesClient(conn).FetchChanges(ctx, request)
 		})
 }
 
-// FetchConfig reads a service's accepted document from the instance at an address.
+// FetchConfig requests a service's accepted document from the instance at an address.
 func (c *Client) FetchConfig(ctx context.Context, address, service string) (*memberpb.Config, error) {
-	return at(ctx, c, "fetch-config", address, callTimeout,
+	return callAddress(ctx, c, "fetch-config", address, callTimeout,
 		func(ctx context.Context, conn drpc.Conn) (*memberpb.Config, error) {
 			return memberpb.NewDRPCMembersClient(conn).FetchConfig(ctx, &memberpb.FetchConfigRequest{Service: service})
 		})
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -16,25 +16,25 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine/quarantinepb"
 )
 
-// Handlers answers the slices' messages. All but Members may be nil.
+// Handlers holds the handlers of the messages. All except Members may be nil.
 type Handlers struct {
 	Budgets budgetpb.DRPCBudgetsServer
 	Bills   billpb.DRPCBillsServer
 	Members memberpb.DRPCMembersServer
 	Loans   prepaidpb.DRPCLoansServer
 	Copies  followpb.DRPCCopiesServer
-	// Quarantine answers tables of requests that crash upstreams.
+	// Quarantine handles exchanges of records of requests that crash upstreams.
 	Quarantine quarantinepb.DRPCQuarantineServer
 }
 
-// Server answers other instances.
+// Server serves calls of other instances.
 type Server struct {
 	listener net.Listener
 	server   *drpcserver.Server
 }
 
-// Listen binds an address and registers the handlers; traffic counts the bytes,
-// and tlsConfig is nil for plain connections.
+// Listen registers the handlers and binds an address; traffic counts the bytes, and tlsConfig is nil
+// for plain connections.
 func Listen(address string, handlers Handlers, traffic *Traffic, tlsConfig *tls.Config) (*Server, error) {
 	mux := drpcmux.New()
 	if handlers.Budgets != nil {
@@ -79,5 +79,5 @@
 // Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve answers until ctx ends.
+// Serve serves calls until ctx ends.
 func (s *Server) Serve(ctx context.Context) error { return s.server.Serve(ctx, s.listener) }
--- a/pkg/peer/traffic.go
+++ b/pkg/peer/traffic.go
@@ -5,15 +5,15 @@
 	"sync/atomic"
 )
 
-// Traffic counts the bytes that go between instances, in both directions.
+// Traffic counts the bytes that this instance exchanges with others.
 type Traffic struct {
-	// In and Out are bytes read and written.
+	// In and Out are the numbers of bytes read and written.
 	In, Out atomic.Int64
 }
 
-func (t *Traffic) count(conn net.Conn) net.Conn { return &countedConn{Conn: conn, traffic: t} }
+func (t *Traffic) countConn(conn net.Conn) net.Conn { return &countedConn{Conn: conn, traffic: t} }
 
-// countedConn counts what passes through a connection.
+// countedConn counts the bytes of a connection.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
@@ -33,7 +33,7 @@
 	return n, err
 }
 
-// countedListener counts what passes through the connections it accepts.
+// countedListener counts the bytes of the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	traffic *Traffic
@@ -45,5 +45,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.traffic.count(conn), nil
+	return l.traffic.countConn(conn), nil
 }
