--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -60,7 +60,7 @@
 try resting-ends-with-the-outage pkg/prepaid/refill.go 's/d\.rest, d\.restUntil = 0, time\.Time\{\}/_ = d/' pkg/prepaid TestDrawersAreAskedAgainOnceTheStoreIsBack
 try a-third-is-held pkg/prepaid/tick.go 's/heldPart = 3/heldPart = 5/' pkg/prepaid TestAccountThatLastsOutlastsACut
 try restarted-is-another pkg/placement/pool.go 's/ \|\| s\.Born != u\.Born//' pkg/placement TestRestartedUpstreamBeginsWithNothing
-try kept-views-follow-the-entries pkg/member/state.go 's/\t\tt\.views = views\{\}\n//' pkg/member TestKeptViewsAreThoseOfTheEntries
+try kept-views-follow-the-entries pkg/member/state.go 's/\t\tt\.cache = viewCache\{\}\n//' pkg/member TestKeptViewsAreThoseOfTheEntries
 try others-take-publishing-over pkg/follow/publisher.go 's/const publishers = 20/const publishers = 3/' pkg/follow TestStoreThatRefusesItsReadersIsReadByAnother
 try who-lacks-nothing-gets-nothing pkg/follow/handon.go 's/ && since\.Before\(upTo\)//' pkg/follow TestCopyIsHandedOnAsItCameAndToThoseThatLackIt
 try kept-hash-follows-the-record pkg/quarantine/table.go 's/\te\.kept = 0\n//' pkg/quarantine TestKeptHashIsThatOfTheRecord
@@ -82,7 +82,7 @@
 try older-word-changes-nothing pkg/follow/follow.go 's/if !since\.Before\(upTo\) \|\| \(/if (/' pkg/follow TestOlderWordChangesNothing
 try handing-on-is-bounded pkg/follow/handon.go 's/ && h\.spent\+size > handMost/ \&\& false/' pkg/follow TestLargeChangeIsHandedOnInTime
 try suspicion-is-refuted pkg/member/state.go 's/m\.State != memberpb\.State_ALIVE && m\.Revision >= t\.self\.Revision/false/' pkg/member TestTablesAreWholeAfterACutOfADomain
-try cut-off-accuses-nobody pkg/member/prober.go 's/case evidence\.Answered > 0 \|\| /case true || /' pkg/member TestCutOfAllMakesNobodySilent
+try cut-off-accuses-nobody pkg/member/prober.go 's/case result\.Answered > 0 \|\| /case true || /' pkg/member TestCutOfAllMakesNobodySilent
 try drawer-is-named pkg/prepaid/named.go 's/if name == "" \|\| name == n\.Name \{/if true {/' pkg/prepaid TestOneDomainStepsInForAll
 try unknown-drawer-is-met pkg/prepaid/named.go 's/ \|\| n\.meets\(shard, s\.Drawer\)//' pkg/prepaid TestDrawersThatDoNotKnowEachOtherGiveWay
 try joining-do-not-draw pkg/prepaid/drawer.go 's/if !n\.Fleet\.Joined\(\) \{/if false {/' pkg/prepaid TestCollisionsEndAfterAStartOfAll
@@ -96,8 +96,8 @@
 try witnessed-draws-are-told pkg/prepaid/recovery.go 's/append\(n\.witnessedRows\(shard\), stored/append([]seenRow(nil), stored/' pkg/prepaid TestDrawOfAWriterThatDiesAtOnceIsNotSpentTwice
 try told-of-an-era-that-is-over pkg/prepaid/witness.go 's/max\(req\.Era, firstEra\) < n\.floor \|\| //' pkg/prepaid TestDrawIsNotWitnessedOnceItsEraHasBeenTold
 try apart-groups-meet pkg/meeting/meeting.go 's/if !m\.IsRegistrar\(\) \{/if true {/' pkg/meeting TestHalvesFindEachOtherAfterALongCut
-try listed-are-asked-again pkg/meeting/meeting.go 's/vainTries = 3/vainTries = 0/' pkg/meeting TestInstancesThatStartTogetherAreOneFleet
-try leaving-stays-leaving pkg/registry/registry.go 's/u = r\.doubt\(u\)/_ = r.doubt/' pkg/registry TestLeavingStaysLeavingWhenTheStoreGoesBack
+try listed-are-asked-again pkg/meeting/meeting.go 's/maxListedAttempts = 3/maxListedAttempts = 0/' pkg/meeting TestInstancesThatStartTogetherAreOneFleet
+try leaving-stays-leaving pkg/registry/registry.go 's/u = r\.withStaleAsLeaving\(u\)/_ = r.withStaleAsLeaving/' pkg/registry TestLeavingStaysLeavingWhenTheStoreGoesBack
 try later-eras-are-later pkg/store/position.go 's/if p\.Era != other\.Era \{/if false {/' pkg/follow TestCopiesFollowTheStoreIntoALaterEra
 try later-era-is-no-answer platform/store.go 's/if era != since\.Era \{/if false {/' platform TestAnswersOfALaterEraAreNoAnswers
 try higher-number-is-handed-on pkg/follow/contents.go 's/c\.kept\[now\.Key\] = true\n\tnow\.Value = before\.Value/_ = before/' pkg/follow TestDocumentOfAHigherNumberIsHandedOn
@@ -134,7 +134,7 @@
 try passed-over-writes-pause pkg/prepaid/write.go 's/errors\.Is\(f\.err, errUnsettledYet\)/errors.Is(f.err, ErrUnsettled)/' pkg/prepaid TestLedgerOfAnEraTakenForOverIsNotWrittenWithoutAPause
 try emptied-domains-are-out pkg/registry/registry.go 's/ && !r\.emptied\.domains\[u\.Domain\]//' test TestEmptiedDomainGetsNothing
 try own-door-knows-emptied-domains pkg/dispatch/picker.go 's/ \|\| p\.emptied\[upstream\.Domain\]//' test TestOwnDoorSendsNothingToAnEmptiedDomain
-try emptied-stay-in-a-later-era pkg/registry/emptied.go 's/case crossed:/case crossed && e.held == nil:/' pkg/registry TestEmptiedDomainStaysOutWhenTheStoreGoesBack
+try emptied-stay-in-a-later-era pkg/registry/emptied.go 's/case newEra:/case newEra && e.retainedUntil == nil:/' pkg/registry TestEmptiedDomainStaysOutWhenTheStoreGoesBack
 try older-lists-restore-nothing pkg/registry/emptied.go 's/if position\.Before\(e\.position\) \{/if false {/' pkg/registry TestEmptiedDomainIsOutUntilItIsRestored
 try cold-limit-at-the-choice pkg/placement/pool.go 's/ \|\| !p\.withinColdLimit\(s, now\)//' pkg/placement TestColdUpstreamGetsWhatItTakes
 try returned-are-cold pkg/placement/pool.go 's/assumeReturnedCold\(before,/assumeReturnedCold(before[:0],/' pkg/placement TestReturnedUpstreamIsTakenForCold
