--- a/pkg/prepaid/drawer.go
+++ b/pkg/prepaid/drawer.go
@@ -8,64 +8,66 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// One instance of a region, the drawer, writes to a ledger object for all of it. If each
-// instance wrote for itself, most writes would meet another's: on a calm day of 73 instances
-// 30,000 writes carried out 6,000 draws, and requests were refused because their draw never
-// got through. Even of seven instances half of the writes met another's, and on days with
-// disruptions a drawer for all took the calls to the store from 3,980 to 1,020 (means of
-// five days with four seeds each).
+// In each region one instance, the drawer, writes to a ledger object on behalf of all others. If
+// every instance wrote for itself, most writes would conflict: on a day without disruptions 73
+// instances needed 30,000 writes for 6,000 draws, and requests were refused because their draw
+// never succeeded. Even among seven instances half of the writes conflicted; on days with
+// disruptions a common drawer reduced the store calls from 3,980 to 1,020 (means of five days with
+// four seeds each).
+//
+// An instance that asks the drawer for tokens is called a requester.
 
-// How a drawer deals tokens out.
+// How a drawer distributes tokens.
 const (
-	// askerSilent is how long an asker counts towards the demand without a
-	// word: six of its reports.
-	askerSilent = 3 * time.Second
-	// askerForgotten is how long the totals of a silent asker are kept.
-	askerForgotten = 10 * time.Minute
-	// poolAhead is how much of the askers' demand the drawer keeps besides what they hold,
-	// so that a waiting request costs a message and not a write: two rounds of reports.
-	// poolPart bounds it to a part of what is held ahead, as a divisor: the pool is lost
-	// with one instance.
-	poolAhead = time.Second
-	poolPart  = 4
-	// refillAtOnce is how much of the askers' demand one write draws for what they lack.
-	// After a cut they lack all at once; drawn at once it lay at one instance until their
-	// next reports, and the power loss of that instance then took a quarter of what some
-	// accounts had prepaid.
-	refillAtOnce = 2 * time.Second
-	// keptForOthers is the part of the pool, as a divisor, that one report leaves.
-	keptForOthers = 4
-	// leastAhead is the time of demand below which nothing is dealt out ahead: with
-	// so little left each request asks the drawer, and no token lies idle.
-	leastAhead = time.Second
-	// widespreadPart is the part of the instances, as a divisor, that must have
-	// demand for a budget before the others are dealt some ahead of their first
-	// request, and also the part of the mean demand that they are dealt for.
-	widespreadPart = 2
-	// maxUnasked bounds the budgets that one answer deals out unasked.
-	maxUnasked = 64
+	// requesterTimeout is how long a requester counts towards the demand after its last report: six
+	// report intervals.
+	requesterTimeout = 3 * time.Second
+	// requesterLifetime is how long the totals of a silent requester are kept.
+	requesterLifetime = 10 * time.Minute
+	// poolAhead is how much of the requesters' demand the drawer keeps in addition to what they
+	// hold, so that a waiting request costs a message instead of a write: two report intervals. The
+	// pool is also limited to 1/poolDivisor of what is held ahead, because all of it is lost if the
+	// drawer fails.
+	poolAhead   = time.Second
+	poolDivisor = 4
+	// maxOwedDrawTime is how much of the requesters' demand one write draws to make up for what
+	// they lack. After a partition they all lack tokens at once. Drawn in one write, these stayed
+	// at the drawer until the next reports, and when the drawer then lost power, a quarter of what
+	// some accounts had prepaid was lost.
+	maxOwedDrawTime = 2 * time.Second
+	// poolReserveDivisor: one report leaves at least 1/poolReserveDivisor of the pool for others.
+	poolReserveDivisor = 4
+	// minAhead is the time of demand below which no tokens are dealt out ahead of requests. With so
+	// little left, each request asks the drawer and no token lies idle.
+	minAhead = time.Second
+	// widespreadDivisor: if at least 1/widespreadDivisor of the instances have demand for a budget,
+	// the others are dealt tokens before their first request, for 1/widespreadDivisor of the mean
+	// demand.
+	widespreadDivisor = 2
+	// maxUnsolicited bounds the budgets that one reply deals out without a demand for them.
+	maxUnsolicited = 64
 )
 
-// asker is what a drawer knows of one instance that it draws for. The totals only grow,
-// so a message that is lost or comes twice changes nothing.
-type asker struct {
-	heard   time.Time
-	budgets map[string]*askerBudget
+// requester is what a drawer knows of one instance that it draws for. The totals only grow, so a
+// lost or duplicated message changes nothing.
+type requester struct {
+	reportedAt time.Time
+	budgets    map[string]*requesterBudget
 }
 
-type askerBudget struct {
+type requesterBudget struct {
 	perSecond int64
 	free      int64
 	granted   int64
 	returned  int64
 }
 
-// Refill takes an asker's report of its demand and deals tokens out to it.
+// Refill receives a requester's report of its demand and deals out tokens to it.
 func (n *Node) Refill(ctx context.Context, req *prepaidpb.RefillRequest) *prepaidpb.RefillReply {
 	if req.Drawer != n.Self {
-		// The process that was asked has been replaced at its address. Totals are between
-		// two incarnations: an asker that took this one's in under the old name would take
-		// the same tokens in again under the new one.
+		// The process that the requester addressed has been replaced by this one. Totals are kept
+		// per pair of incarnations: if the requester counted this process's grants under the old
+		// incarnation, it would count the same tokens again under the new one.
 		return &prepaidpb.RefillReply{Declined: true, Successor: n.Self}
 	}
 	shard := int(req.Shard)
@@ -76,57 +78,58 @@
 		return &prepaidpb.RefillReply{}
 	}
 	if !n.Fleet.Joined() {
-		// It is asked by some that know few others either. If each such instance drew for
-		// its askers, a start of all would have hundreds of them write at once.
+		// Requesters that know few other instances may choose this one. If every such instance drew
+		// for its requesters, hundreds of them would write at once after a restart of the whole
+		// fleet.
 		return &prepaidpb.RefillReply{Busy: true}
 	}
-	a := n.hear(shard, req)
-	if a == nil {
+	r := n.receiveReport(shard, req)
+	if r == nil {
 		return &prepaidpb.RefillReply{Declined: true}
 	}
 	var short *ShortError
-	waiting := neededIn(req)
+	waiting := waitingDemand(req)
 	if waiting != nil {
-		err := n.findForAsker(ctx, waiting.Budget, waiting.Need)
+		err := n.acquireForRequester(ctx, waiting.Budget, waiting.Need)
 		if errors.As(err, &short) && !short.Exhausted && !errors.Is(err, ErrTooFew) {
-			return n.unable(shard, req, waiting, err)
+			return n.declineOrRefer(shard, req, waiting, err)
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if waiting != nil && short == nil {
-		a.budgets[waiting.Budget].granted += waiting.Need
+		r.budgets[waiting.Budget].granted += waiting.Need
 	}
-	reply := &prepaidpb.RefillReply{Drawer: n.shards[shard].drawer, TakenEra: n.hearTold(shard, req)}
+	reply := &prepaidpb.RefillReply{Drawer: n.shards[shard].drawer, TakenEra: n.receiveSeenRows(shard, req)}
 	reply.UnsettledEra, reply.SettledEra = n.shards[shard].recovery.eras()
 	for _, d := range req.Demands {
-		supply := n.supply(a, d, shard)
+		supply := n.supply(r, d, shard)
 		supply.Exhausted = d == waiting && short != nil && short.Exhausted
 		reply.Supplies = append(reply.Supplies, supply)
 	}
 	if waiting == nil {
-		n.supplyUnasked(a, shard, reply)
+		n.supplyUnsolicited(r, shard, reply)
 	}
 	return reply
 }
 
-// unable answers an asker whose need this instance could not see to.
-func (n *Node) unable(
+// declineOrRefer answers a requester whose waiting demand this instance could not meet.
+func (n *Node) declineOrRefer(
 	shard int, req *prepaidpb.RefillRequest, waiting *prepaidpb.Demand, err error,
 ) *prepaidpb.RefillReply {
 	if errors.Is(err, ErrBusy) {
-		return &prepaidpb.RefillReply{Busy: true} // no reason to ask, or to write, elsewhere
+		return &prepaidpb.RefillReply{Busy: true} // asking or writing elsewhere would not help
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if lenders := n.lendersFor(shard, req.Asker, waiting); len(lenders) > 0 {
+	if lenders := n.selectLenders(shard, req.Asker, waiting); len(lenders) > 0 {
 		return &prepaidpb.RefillReply{Lenders: lenders}
 	}
-	return &prepaidpb.RefillReply{Declined: true, Drawer: n.shards[shard].drawer} // who may reach the ledger
+	return &prepaidpb.RefillReply{Declined: true, Drawer: n.shards[shard].drawer} // this drawer may reach the ledger
 }
 
-// neededIn returns the demand that a request waits for; a report has one at most.
-func neededIn(req *prepaidpb.RefillRequest) *prepaidpb.Demand {
+// waitingDemand returns the demand that a request waits for; a report has at most one.
+func waitingDemand(req *prepaidpb.RefillRequest) *prepaidpb.Demand {
 	for _, d := range req.Demands {
 		if d.Need > 0 {
 			return d
@@ -135,13 +138,13 @@
 	return nil
 }
 
-// findForAsker takes tokens out of what is free at this instance, having them drawn
+// acquireForRequester takes tokens out of this instance's free tokens and draws from the ledger
 // first if there are too few. Errors: *ShortError.
-func (n *Node) findForAsker(ctx context.Context, budget string, need int64) error {
-	if n.tryFirst(budget, need) {
+func (n *Node) acquireForRequester(ctx context.Context, budget string, need int64) error {
+	if n.tryTakeUnclaimed(budget, need) {
 		return nil
 	}
-	if n.knownShort(budget, need) {
+	if n.knownExhausted(budget, need) {
 		return &ShortError{Budget: budget, Need: need, Exhausted: true, Step: "ledger", Err: ErrTooFew}
 	}
 	found, err := n.withdraw(ctx, budget, need)
@@ -151,71 +154,71 @@
 	case err != nil:
 		return &ShortError{Budget: budget, Need: need, Step: "ledger", Err: err}
 	}
-	return n.findReturned(ctx, budget, need)
+	return n.acquireAfterRecall(ctx, budget, need)
 }
 
-// hear takes a report of a shard in; nil if this instance stops.
-func (n *Node) hear(shard int, req *prepaidpb.RefillRequest) *asker {
+// receiveReport updates the requester's state from its report; nil if this instance is stopping.
+func (n *Node) receiveReport(shard int, req *prepaidpb.RefillRequest) *requester {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.stopping {
 		return nil
 	}
-	askers := n.shards[shard].askers
-	a := askers[req.Asker]
-	if a == nil {
-		a = &asker{budgets: map[string]*askerBudget{}}
-		askers[req.Asker] = a
+	requesters := n.shards[shard].requesters
+	r := requesters[req.Asker]
+	if r == nil {
+		r = &requester{budgets: map[string]*requesterBudget{}}
+		requesters[req.Asker] = r
 	}
-	a.heard = n.Now()
+	r.reportedAt = n.Now()
 	for _, d := range req.Demands {
-		n.hearDemand(a, d)
+		n.receiveDemand(r, d)
 	}
-	return a
+	return r
 }
 
-func (n *Node) hearDemand(a *asker, d *prepaidpb.Demand) {
-	b := a.budgets[d.Budget]
+func (n *Node) receiveDemand(r *requester, d *prepaidpb.Demand) {
+	b := r.budgets[d.Budget]
 	if b == nil {
-		// Totals from before this drawer knew the asker may have been counted already:
-		// they are given up, which loses tokens and mints none.
-		b = &askerBudget{returned: d.Returned}
-		a.budgets[d.Budget] = b
+		// The drawer may have counted totals from before it knew this requester. They are written
+		// off, which may lose tokens but never creates any.
+		b = &requesterBudget{returned: d.Returned}
+		r.budgets[d.Budget] = b
 	}
 	if back := d.Returned - b.returned; back > 0 {
 		b.returned = d.Returned
-		n.purse(d.Budget).free += back
+		n.position(d.Budget).free += back
 	}
 	b.perSecond, b.free = d.PerSecond, d.Free
-	p := n.purse(d.Budget)
+	p := n.position(d.Budget)
 	p.largest = max(p.largest, d.Need+d.Free)
 }
 
-// supply deals one budget out to an asker; n.mu is held.
-func (n *Node) supply(a *asker, d *prepaidpb.Demand, shard int) *prepaidpb.Supply {
-	b := a.budgets[d.Budget]
-	p := n.purse(d.Budget)
-	keep := n.keepOf(p, d, shard)
+// supply deals out tokens of one budget to a requester; n.mu is held.
+func (n *Node) supply(r *requester, d *prepaidpb.Demand, shard int) *prepaidpb.Supply {
+	b := r.budgets[d.Budget]
+	p := n.position(d.Budget)
+	keepTarget := n.keepTargetFor(p, d, shard)
 	free := d.Free
 	if d.Need > 0 {
-		free = 0 // the waiting request takes what the asker has
+		free = 0 // the waiting request uses up what the requester has
 	}
-	if wanted := keep - free; wanted > 0 {
-		ahead := min(wanted, p.free-p.free/keptForOthers)
+	if wanted := keepTarget - free; wanted > 0 {
+		ahead := min(wanted, p.free-p.free/poolReserveDivisor)
 		p.free -= ahead
 		b.granted += ahead
 		p.owed += wanted - ahead
 	}
-	return &prepaidpb.Supply{Budget: d.Budget, Granted: b.granted, Keep: keep, Left: p.left, Prepaid: p.prepaid, Drawn: p.counter.Drawn}
+	return &prepaidpb.Supply{Budget: d.Budget, Granted: b.granted, Keep: keepTarget, Left: p.ledgerFree, Prepaid: p.prepaid, Drawn: p.counter.Drawn}
 }
 
-// keepOf is how many tokens of a budget an asker should hold; n.mu is held.
-func (n *Node) keepOf(p *purse, d *prepaidpb.Demand, shard int) int64 {
-	ahead := n.allowedAhead(p)
-	if ahead < leastAhead {
+// keepTargetFor returns how many tokens of a budget a requester should hold; n.mu is held.
+func (n *Node) keepTargetFor(p *position, d *prepaidpb.Demand, shard int) int64 {
+	ahead := n.holdTime(p)
+	if ahead < minAhead {
 		return 0
 	}
-	rate := max(float64(d.PerSecond), n.expected(p, shard))
+	rate := max(float64(d.PerSecond), n.expectedDemand(p, shard))
 	if rate < 1 {
 		return 0
 	}
@@ -223,92 +226,91 @@
 	return keep
 }
 
-// expected is the demand that an instance is dealt for before it has shown any: part
-// of the mean, if most of those drawn for have demand for the budget.
-func (n *Node) expected(p *purse, shard int) float64 {
-	if instances := n.shards[shard].drawnFor; p.active*widespreadPart >= instances && instances > 0 {
-		return p.drawnPerSecond / float64(instances) / widespreadPart
+// expectedDemand returns the demand, in tokens a second, for which an instance that has shown none
+// yet is dealt tokens: part of the mean if most instances served have demand for the budget.
+func (n *Node) expectedDemand(p *position, shard int) float64 {
+	if instances := n.shards[shard].numServed; p.numActive*widespreadDivisor >= instances && instances > 0 {
+		return p.servedPerSecond / float64(instances) / widespreadDivisor
 	}
 	return 0
 }
 
-// allowedAhead is the time of demand that may lie at instances. The share goes by demand:
-// an equal share for each instance left the few that serve a busy account short in every
-// cut.
-func (n *Node) allowedAhead(p *purse) time.Duration {
-	if p.dry {
+// holdTime returns for how much time of demand tokens may be held at instances. Each instance's
+// share is proportional to its demand: equal shares left the few instances that serve a busy
+// account short in every partition.
+func (n *Node) holdTime(p *position) time.Duration {
+	if p.depleted {
 		return 0
 	}
-	return p.ahead(n.ahead)
+	return p.holdTime(n.ahead)
 }
 
-// supplyUnasked deals out budgets that most instances drawn for have demand for
-// and the asker has not met yet; n.mu is held.
-func (n *Node) supplyUnasked(a *asker, shard int, reply *prepaidpb.RefillReply) {
-	most := len(reply.Supplies) + maxUnasked
-	for id, p := range n.purses {
-		if len(reply.Supplies) >= most {
+// supplyUnsolicited deals out budgets for which most instances served have demand and which the
+// requester has not reported yet; n.mu is held.
+func (n *Node) supplyUnsolicited(r *requester, shard int, reply *prepaidpb.RefillReply) {
+	maxSupplies := len(reply.Supplies) + maxUnsolicited
+	for id, p := range n.positions {
+		if len(reply.Supplies) >= maxSupplies {
 			return
 		}
-		if n.ShardOf(id) != shard || a.budgets[id] != nil || n.expected(p, shard) < 1 {
+		if n.ShardOf(id) != shard || r.budgets[id] != nil || n.expectedDemand(p, shard) < 1 {
 			continue
 		}
-		d := &prepaidpb.Demand{Budget: id, Usual: int64(p.usual)}
-		a.budgets[id] = &askerBudget{}
-		reply.Supplies = append(reply.Supplies, n.supply(a, d, shard))
+		d := &prepaidpb.Demand{Budget: id, Usual: int64(p.typicalSize)}
+		r.budgets[id] = &requesterBudget{}
+		reply.Supplies = append(reply.Supplies, n.supply(r, d, shard))
 	}
 }
 
-// countDemand sums the demand of all that this instance draws for; n.mu is held.
+// countDemand sums the demand of all instances that this one draws for; n.mu is held.
 func (n *Node) countDemand(now time.Time) {
-	for _, p := range n.purses {
-		p.drawnPerSecond, p.heldByAskers, p.active = 0, 0, 0
+	for _, p := range n.positions {
+		p.servedPerSecond, p.heldByRequesters, p.numActive = 0, 0, 0
 		p.addDemand(p.perSecond)
 	}
 	for shard := range n.shards {
-		n.countAskers(&n.shards[shard], now)
+		n.countRequesters(&n.shards[shard], now)
 	}
 }
 
-func (n *Node) countAskers(state *shardState, now time.Time) {
-	state.drawnFor = 1
-	for name, a := range state.askers {
-		silent := now.Sub(a.heard)
-		if silent > askerForgotten {
-			delete(state.askers, name)
+func (n *Node) countRequesters(state *shardState, now time.Time) {
+	state.numServed = 1
+	for name, r := range state.requesters {
+		silent := now.Sub(r.reportedAt)
+		if silent > requesterLifetime {
+			delete(state.requesters, name)
 		}
-		if silent > askerSilent {
+		if silent > requesterTimeout {
 			continue
 		}
-		state.drawnFor++
-		for id, b := range a.budgets {
-			p := n.purse(id)
+		state.numServed++
+		for id, b := range r.budgets {
+			p := n.position(id)
 			p.addDemand(float64(b.perSecond))
-			p.heldByAskers += b.free
+			p.heldByRequesters += b.free
 		}
 	}
 }
 
-// addDemand counts one instance's demand.
-func (p *purse) addDemand(perSecond float64) {
-	p.drawnPerSecond += perSecond
+// addDemand adds one instance's demand.
+func (p *position) addDemand(perSecond float64) {
+	p.servedPerSecond += perSecond
 	if perSecond >= 1 {
-		p.active++
+		p.numActive++
 	}
 }
 
-// drawsForOthers reports that others have this instance draw a shard for them; n.mu
-// is held.
-func (n *Node) drawsForOthers(shard int) bool { return n.shards[shard].drawnFor > 1 }
+// drawsForOthers reports whether this instance draws a shard for others; n.mu is held.
+func (n *Node) drawsForOthers(shard int) bool { return n.shards[shard].numServed > 1 }
 
-// poolTarget is how many free tokens of a budget a drawer wants; n.mu is held.
-func (n *Node) poolTarget(p *purse) int64 {
-	ahead := n.allowedAhead(p)
-	if ahead < leastAhead {
+// poolTarget returns how many free tokens of a budget a drawer wants to hold; n.mu is held.
+func (n *Node) poolTarget(p *position) int64 {
+	ahead := n.holdTime(p)
+	if ahead < minAhead {
 		return p.target(n.ahead)
 	}
 	own := p.perSecond * ahead.Seconds()
-	pool := p.drawnPerSecond * min(ahead/poolPart, poolAhead).Seconds()
-	owed := min(p.owed, int64(p.drawnPerSecond*refillAtOnce.Seconds()))
+	pool := p.servedPerSecond * min(ahead/poolDivisor, poolAhead).Seconds()
+	owed := min(p.owed, int64(p.servedPerSecond*maxOwedDrawTime.Seconds()))
 	return int64(own+pool) + owed
 }
--- a/pkg/prepaid/drawer_test.go
+++ b/pkg/prepaid/drawer_test.go
@@ -9,9 +9,9 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// playLoad has every instance serve one request of 300 tokens in each of some half
-// seconds, and returns how many were served and refused.
-func (f *fleet) playLoad(t *testing.T, steps int) (served, refused int) {
+// runLoad has every instance serve one request of 300 tokens in each half second, and returns how
+// many were served and refused.
+func (f *fleet) runLoad(t *testing.T, steps int) (served, refused int) {
 	for range steps {
 		for _, m := range f.nodes {
 			switch {
@@ -27,20 +27,20 @@
 	return served, refused
 }
 
-// In a large fleet one instance draws an account for its failure domain, and the
-// others get theirs from it: the store sees its writes only. When it dies, another
-// draws, and callers are served on.
+// In a large fleet one instance draws an account's tokens and the others get theirs from it, so
+// that only its writes reach the store. After it dies, another instance draws, and no request is
+// refused.
 func TestDrawerDrawsForOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(7, 6, map[string]int64{account: 10_000_000})
 		f.drawers = []string{"i0", "i1"}
-		_, refused := f.playLoad(t, 40)
+		_, refused := f.runLoad(t, 40)
 		s, err := prepaid.DecodeShard(f.shards[f.era].value)
 		if err != nil || refused > 0 || len(s.Writers) > 1 {
 			t.Errorf("%d refused, %d instances wrote, %v", refused, len(s.Writers), err)
 		}
 		f.nodes[0].dead = true
-		if _, refused := f.playLoad(t, 40); refused > 0 {
+		if _, refused := f.runLoad(t, 40); refused > 0 {
 			t.Errorf("%d refused after the drawer's death", refused)
 		}
 		s, err = prepaid.DecodeShard(f.shards[f.era].value)
@@ -50,9 +50,9 @@
 	})
 }
 
-// All instances of a large fleet are cut off from the store and from each other for
-// seven seconds. One instance has most of an account's callers. They are served on like
-// the others, since what lies at an instance goes by its demand.
+// Guards against refusals at the one instance that has most of an account's callers while all
+// instances of a large fleet are partitioned from the store and from each other for seven seconds:
+// the tokens held by an instance are proportional to its demand.
 func TestBusyInstanceOutlastsACut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(8, 20, map[string]int64{account: 2_000_000})
@@ -71,18 +71,18 @@
 		}
 		load(20)
 		for _, m := range f.nodes {
-			m.cut = true
+			m.partitioned = true
 		}
 		if refused := load(14); refused > 0 {
-			t.Errorf("%d of %d were refused while cut off", refused, 14*12)
+			t.Errorf("%d of %d were refused while partitioned", refused, 14*12)
 		}
 	})
 }
 
-// All instances of a large fleet are cut off for six seconds while an account lasts for some
-// eighteen at its demand. Callers are served throughout: a third of that time is held at the
-// instances. Held by its square, it was used up before the cut's end, with most of the account
-// untouched in the ledger.
+// Guards against refusals while all instances of a large fleet are partitioned for six seconds and
+// an account lasts for about eighteen at its demand. Instances hold tokens for a third of that
+// time. When they held in proportion to the square of that time, the tokens ran out before the
+// partition ended, with most of the account unused in the ledger.
 func TestAccountThatLastsOutlastsACut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const steps, cutSteps, perStep = 20, 12, 20 * 300
@@ -93,29 +93,29 @@
 			f.join()
 		}
 		f.drawers = []string{"i0"}
-		if _, refused := f.playLoad(t, steps); refused > 0 {
-			t.Errorf("%d were refused before the cut", refused)
+		if _, refused := f.runLoad(t, steps); refused > 0 {
+			t.Errorf("%d were refused before the partition", refused)
 		}
 		for _, m := range f.nodes {
-			m.cut = true
+			m.partitioned = true
 		}
-		served, refused := f.playLoad(t, cutSteps)
+		served, refused := f.runLoad(t, cutSteps)
 		if refused > served/20 {
-			t.Errorf("%d were served and %d refused while cut off", served, refused)
+			t.Errorf("%d were served and %d refused while partitioned", served, refused)
 		}
 	})
 }
 
-// A large fleet's account is used up to its end. What lies at instances goes back to
-// the drawer while they still report, so nearly all is served. That the drawer has too
-// few is no reason for the others to write to the ledger themselves: all of them at once
-// would get nothing through.
+// A large fleet uses an account up completely. Held tokens go back to the drawer while the other
+// instances still report, so nearly all is served. When the drawer has too few tokens, the others
+// must not write to the ledger themselves: with all of them writing at once, no write would
+// succeed.
 func TestDrawerServesToTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all = 600_000
 		f := newFleet(9, 20, map[string]int64{account: all})
 		f.drawers = []string{"i0"}
-		served, _ := f.playLoad(t, 140)
+		served, _ := f.runLoad(t, 140)
 		if served*300 < all*97/100 {
 			t.Errorf("%d of %d tokens were served", served*300, all)
 		}
@@ -126,28 +126,28 @@
 	})
 }
 
-// All instances of a large fleet are cut off for eight seconds and use up what they hold.
-// Callers are refused for seconds more, though all are connected again: the drawers have
-// failed so often that they are passed over, and each instance writes to the ledger itself,
-// where most writes meet another's. The store's first answer ends that.
+// All instances of a large fleet are partitioned for eight seconds and use up what they hold.
+// Guards against refusals after that: the drawers failed so often that they are avoided for
+// seconds, and each instance writes to the ledger itself, where most writes conflict. The store's
+// first answer ends that.
 func TestDrawersAreAskedAgainOnceTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(11, 20, map[string]int64{account: 2_000_000})
 		f.drawers = []string{"i0", "i1"}
-		cut := func(cut bool) {
+		setPartitioned := func(cut bool) {
 			for _, m := range f.nodes {
-				m.cut = cut
+				m.partitioned = cut
 			}
 		}
-		f.playLoad(t, 20)
-		cut(true)
-		f.playLoad(t, 24)
-		cut(false)
+		f.runLoad(t, 20)
+		setPartitioned(true)
+		f.runLoad(t, 24)
+		setPartitioned(false)
 		for _, m := range f.nodes {
 			m.StoreBack()
 		}
-		f.playLoad(t, 1) // the drawers find the ledger again
-		_, refused := f.playLoad(t, 6)
+		f.runLoad(t, 1) // the drawers reach the ledger again
+		_, refused := f.runLoad(t, 6)
 		s, err := prepaid.DecodeShard(f.shards[f.era].value)
 		if err != nil || refused > 0 || len(s.Writers) > len(f.drawers) {
 			t.Errorf("%d refused, %d instances wrote, %v", refused, len(s.Writers), err)
@@ -155,27 +155,27 @@
 	})
 }
 
-// Answers of the drawer are lost, and reports too. What they carried is told again by
-// the next ones: nearly all that was prepaid is served in the end.
+// Reports and answers of the drawer are lost. The next ones repeat what they carried: nearly all
+// prepaid tokens are served in the end.
 func TestLostAnswersOfADrawerLoseNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all = 600_000
 		f := newFleet(10, 8, map[string]int64{account: all})
 		f.drawers = []string{"i0"}
-		f.loseLoan = 0.2
-		served, _ := f.playLoad(t, 200)
-		f.loseLoan = 0
+		f.loseMessageChance = 0.2
+		served, _ := f.runLoad(t, 200)
+		f.loseMessageChance = 0
 		f.advance(5 * time.Second)
-		more, _ := f.playLoad(t, 200)
+		more, _ := f.runLoad(t, 200)
 		if (served+more)*300 < all*97/100 {
 			t.Errorf("%d of %d tokens were served", (served+more)*300, all)
 		}
 	})
 }
 
-// A drawer is replaced at its address. An instance that has not heard of it asks under
-// the old name and gets nothing: tokens dealt out there would be taken in once more under
-// the new name, and callers could spend more than was prepaid.
+// Guards against overspending after a drawer was replaced at its address. An instance that does not
+// know that addresses it by its old incarnation and must be declined: it would count tokens dealt
+// out under the old incarnation once more under the new one.
 func TestReplacedDrawerDeclines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(11, 2, map[string]int64{account: 100_000})
@@ -183,39 +183,39 @@
 			Asker: "i1", Drawer: "i0-before", Demands: []*prepaidpb.Demand{{Budget: account, Need: 500}},
 		}
 		if reply := f.nodes[0].Node.Refill(t.Context(), req); !reply.Declined || len(reply.Supplies) > 0 {
-			t.Errorf("dealt out to %v", reply)
+			t.Errorf("the replaced drawer's successor dealt out tokens: %v", reply)
 		}
 		req.Drawer = "i0"
 		if reply := f.nodes[0].Node.Refill(t.Context(), req); reply.Declined || reply.Supplies[0].Granted < 500 {
-			t.Errorf("declined the right name: %v", reply)
+			t.Errorf("declined a request to its own incarnation: %v", reply)
 		}
 	})
 }
 
-// All instances of a large fleet start anew under load, while the store does not answer
-// yet, so that they do not know each other. Their callers are refused; the store sees few
-// tries, or it would be too busy to tell them of each other when it is back.
+// All instances of a large fleet restart under load while the store does not answer, so that they
+// do not know each other. Their callers are refused. The store must see few attempts, or it would
+// be too busy afterwards to tell the instances of each other.
 func TestFleetThatStartsUnderLoadLeavesTheStoreAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const instances, steps = 40, 12
 		f := newFleet(13, instances, map[string]int64{account: 10_000_000})
-		f.unknown, f.down = true, true
-		f.playLoad(t, steps)
+		f.notJoined, f.storeDown = true, true
+		f.runLoad(t, steps)
 		if most := instances * steps / 2; f.tries > most {
-			t.Errorf("%d tries in %d half seconds, %d allowed", f.tries, steps, most)
+			t.Errorf("%d attempts in %d half seconds, %d allowed", f.tries, steps, most)
 		}
-		f.unknown, f.down = false, false
+		f.notJoined, f.storeDown = false, false
 		f.drawers = []string{"i0", "i1"}
-		f.playLoad(t, 10)
-		if _, refused := f.playLoad(t, 4); refused > 0 {
-			t.Errorf("%d refused after the store's return", refused)
+		f.runLoad(t, 10)
+		if _, refused := f.runLoad(t, 4); refused > 0 {
+			t.Errorf("%d refused after the store was available again", refused)
 		}
 	})
 }
 
-// A drawer hears of what an asker has given back from before it knew the asker, or after
-// it has forgotten it. It may have been counted already, so it is given up: callers spend
-// less than was prepaid, never more.
+// A drawer receives a total of returned tokens from before it knew the requester, or after the
+// requester's state expired. The total may have been counted already, so it is written off: callers
+// may spend less than was prepaid, never more.
 func TestForgottenTotalsAreGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(15, 1, map[string]int64{account: 100_000})
@@ -223,14 +223,14 @@
 			Asker: "i1", Drawer: "i0", Demands: []*prepaidpb.Demand{{Budget: account, Returned: 50_000}},
 		})
 		if free := f.nodes[0].Free(account); free != 0 {
-			t.Errorf("%d tokens out of nothing", free)
+			t.Errorf("%d free tokens were created", free)
 		}
 	})
 }
 
-// Three instances that have their tokens from a drawer stop in an orderly way. They have
-// never written to the ledger themselves, and what they give back there is not lost:
-// callers of the others get it to the end of the account.
+// Three instances that have their tokens from a drawer stop as planned. They have never written to
+// the ledger themselves. Guards against the loss of the tokens that they return there: the others'
+// callers use the account up.
 func TestStoppingAskersLoseNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all = 3_000_000
@@ -252,8 +252,7 @@
 	})
 }
 
-// reserveMany reserves 4,000 tokens for each of so many requests at an instance, half a
-// second apart.
+// reserveMany makes reservations of 4,000 tokens at an instance, half a second apart.
 func (f *fleet) reserveMany(t *testing.T, m *member, requests int) (reserved []*prepaid.Reservation) {
 	t.Helper()
 	for range requests {
@@ -267,9 +266,9 @@
 	return reserved
 }
 
-// A drawer stops while an instance that it draws for has much reserved, which is then
-// hardly used. The instance's reports are declined; what it would have given back stays
-// there to be spent or given back to the next drawer.
+// A drawer stops while an instance that it draws for has much reserved, hardly any of which is then
+// used. Guards against the loss of tokens in declined reports: they stay at the instance to be
+// spent or returned to the next drawer.
 func TestDeclinedReportsLoseNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all, open = 400_000, 40
@@ -293,9 +292,9 @@
 	})
 }
 
-// A drawer takes in what an instance gives back, its answer is lost, and then it stops: it
-// returns those tokens to the ledger and declines the instance's next report. They are not
-// free at the instance as well, or callers would get them twice.
+// A drawer counts what an instance returns, its answer is lost, and then it stops: it returns those
+// tokens to the ledger and declines the instance's next report. Guards against overspending: the
+// tokens must not become free at the instance as well.
 func TestDoubtfulReturnIsNotFreeAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all, open = 400_000, 40
@@ -325,13 +324,13 @@
 	})
 }
 
-// Guards against a request that is refused in an outage of the store though one of many instances
-// holds enough: its drawer knows who, and three drawn at random mostly do not.
+// Guards against a request that is refused in a store outage though one of many instances holds
+// enough tokens. The drawer knows which one does; three randomly chosen peers mostly do not.
 func TestDrawerNamesWhoHoldsTokensInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(9, 40, map[string]int64{account: 2_000_000})
 		f.drawers = []string{"i0"}
-		holder, asker := f.nodes[17], f.nodes[23]
+		holder, borrower := f.nodes[17], f.nodes[23]
 		for range 20 {
 			for range 8 {
 				spend(t, holder, 300)
@@ -339,31 +338,31 @@
 			f.tick()
 		}
 		for _, m := range f.nodes {
-			m.noStore = true
+			m.storeCut = true
 		}
 		f.tick()
 		served := 0
 		for range 4 {
-			if spend(t, asker, 1500) {
+			if spend(t, borrower, 1500) {
 				served++
 			}
 			f.tick()
 		}
 		if served < 3 {
-			t.Errorf("%d of 4 were served, %d lie at another instance", served, holder.Free(account))
+			t.Errorf("%d of 4 were served, %d tokens are free at another instance", served, holder.Free(account))
 		}
 	})
 }
 
-// Guards against a request that is refused in an outage of the store since no instance alone holds as
+// Guards against a request that is refused in a store outage because no single instance holds as
 // many tokens as it needs.
 func TestRequestInAnOutageIsMetByManyPieces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(10, 40, map[string]int64{account: 1_000_000})
 		f.drawers = []string{"i0"}
-		f.playLoad(t, 20)
+		f.runLoad(t, 20)
 		for _, m := range f.nodes {
-			m.noStore = true
+			m.storeCut = true
 		}
 		f.tick()
 		most := int64(0)
@@ -371,7 +370,7 @@
 			most = max(most, m.Free(account))
 		}
 		if !spend(t, f.nodes[23], most+most/2) {
-			t.Errorf("refused; %d is the most that one holds", most)
+			t.Errorf("refused; one instance holds at most %d", most)
 		}
 	})
 }
--- a/pkg/prepaid/fake_test.go
+++ b/pkg/prepaid/fake_test.go
@@ -13,51 +13,51 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// heldFor is how late an acknowledgement is that is held up.
-const heldFor = 150 * time.Millisecond
+// ackDelay is the delay of an acknowledgement that is held up.
+const ackDelay = 150 * time.Millisecond
 
-// errLost is a message or a call whose answer did not come.
+// errLost means that a message or its answer was lost.
 var errLost = errors.New("lost")
 
-// fleet is some instances around one ledger object, with faults drawn from a seed.
+// fleet simulates some instances around one ledger object, with faults drawn from a seed.
 type fleet struct {
 	mu  sync.Mutex
-	rng *rand.Rand // the history\'s own
-	// luck draws what is lost; messages draw from it at any time.
-	luck *rand.Rand
-	now  time.Time
-	// shards are the ledger object by era, each with its version, past what they were: the
-	// store can go back to any of them.
-	era    uint64
-	shards map[uint64]fakeObject
-	past   []map[uint64]fakeObject
-	// late are writes that were not answered and may still take effect while the
-	// version is theirs.
-	late  []lateWrite
-	nodes []*member
+	rng *rand.Rand // used by the test's own steps only
+	// faultRand decides which messages are lost; it is used at any time by concurrent messages.
+	faultRand *rand.Rand
+	now       time.Time
+	// shards are the ledger objects by era, each with its version; history are their earlier
+	// states, to any of which the store can be rolled back.
+	era     uint64
+	shards  map[uint64]fakeObject
+	history []map[uint64]fakeObject
+	// lateWrites were not answered and may still take effect while their version is current.
+	lateWrites []lateWrite
+	nodes      []*member
 	// amounts is the configuration in force.
 	amounts prepaid.Amounts
-	// ahead is how much of its demand an instance that joins holds.
+	// ahead is for how much time of its demand a joining instance holds tokens.
 	ahead time.Duration
-	// drawers names who draws for all, the best first; each draws itself without.
+	// drawers are the candidates that draw for all, the preferred one first; without any, each
+	// instance draws for itself.
 	drawers []string
-	// deathsKnown says that the others are told who is dead or cut off.
+	// deathsKnown says that instances know which others are dead or partitioned.
 	deathsKnown bool
-	// unknown says that instances do not know each other yet; tries counts their tries to
+	// notJoined says that instances do not know each other yet; tries counts their attempts to
 	// write.
-	unknown bool
-	tries   int
-	// down makes the ledger refuse, lose is the chance that an answer is lost.
-	down bool
-	lose float64
-	// hold is the chance that a write's acknowledgement comes late, perhaps in a later era.
-	hold float64
-	// loseAnswers loses each answer of a drawer.
+	notJoined bool
+	tries     int
+	// storeDown makes the ledger fail; loseAckChance is the chance that a write's answer is lost.
+	storeDown     bool
+	loseAckChance float64
+	// ackDelayChance is the chance that a write's acknowledgement is late, perhaps in a later era.
+	ackDelayChance float64
+	// loseAnswers makes all answers of drawers get lost.
 	loseAnswers bool
-	// seenBy holds, by writer and budget, who has seen how much of what it drew.
-	seenBy map[string]map[string]map[string]int64
-	// loseLoan is the chance that a loan's request, or its answer, is lost.
-	loseLoan float64
+	// witnessedBy holds, by writer and budget, how much of the draws each witness has seen.
+	witnessedBy map[string]map[string]map[string]int64
+	// loseMessageChance is the chance that a message between instances, or its answer, is lost.
+	loseMessageChance float64
 }
 
 // fakeObject is the ledger object of one era.
@@ -67,8 +67,8 @@
 }
 
 type lateWrite struct {
-	era, on uint64
-	value   []byte
+	era, version uint64
+	value        []byte
 }
 
 // member is one instance.
@@ -76,20 +76,21 @@
 	*prepaid.Node
 	fleet *fleet
 	name  string
-	// cut is off the ledger and all peers, dead for good; noStore is off the ledger only.
-	cut, dead, noStore bool
+	// partitioned: reaches neither the ledger nor peers; dead: never comes back; storeCut: reaches
+	// peers, but not the ledger.
+	partitioned, dead, storeCut bool
 }
 
 func newFleet(seed uint64, instances int, prepaidTokens map[string]int64) *fleet {
 	f := &fleet{
-		rng:     rand.New(rand.NewPCG(seed, 1)),
-		luck:    rand.New(rand.NewPCG(seed, 2)),
-		now:     time.Unix(1000, 0),
-		ahead:   8 * time.Second,
-		amounts: prepaid.Amounts{Version: 1, Tokens: prepaidTokens},
-		era:     1,
-		shards:  map[uint64]fakeObject{},
-		seenBy:  map[string]map[string]map[string]int64{},
+		rng:         rand.New(rand.NewPCG(seed, 1)),
+		faultRand:   rand.New(rand.NewPCG(seed, 2)),
+		now:         time.Unix(1000, 0),
+		ahead:       8 * time.Second,
+		amounts:     prepaid.Amounts{Version: 1, Tokens: prepaidTokens},
+		era:         1,
+		shards:      map[uint64]fakeObject{},
+		witnessedBy: map[string]map[string]map[string]int64{},
 	}
 	for range instances {
 		f.join()
@@ -105,46 +106,46 @@
 		Peers:    m,
 		Fleet:    m,
 		Observer: m,
-		Amounts:  func(int) prepaid.Amounts { return f.configured() },
+		Amounts:  func(int) prepaid.Amounts { return f.currentAmounts() },
 		VerifyEra: func() (uint64, error) {
-			if m.away() {
+			if m.storeUnreachable() {
 				return 0, errLost
 			}
-			m.sawEra()
+			m.noteStoreEra()
 			return f.storeEra(), nil
 		},
 		Now: f.clock,
 	})
-	f.change(func() { f.nodes = append(f.nodes, m) })
+	f.update(func() { f.nodes = append(f.nodes, m) })
 	return m
 }
 
-// members returns the instances that there are.
+// members returns all instances.
 func (f *fleet) members() []*member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.nodes
 }
 
-// unreachable reports whether no message passes between two instances.
+// unreachable reports whether no message passes from one instance to another.
 func (f *fleet) unreachable(from, to *member) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return from.cut || to.cut || to.dead
+	return from.partitioned || to.partitioned || to.dead
 }
 
-// knownGone reports whether the others are told that an instance is dead or cut off.
-func (f *fleet) knownGone(m *member) bool {
+// isKnownGone reports whether the others know that an instance is dead or partitioned.
+func (f *fleet) isKnownGone(m *member) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.deathsKnown && (m.dead || m.cut)
+	return f.deathsKnown && (m.dead || m.partitioned)
 }
 
-// losesLoan reports whether a loan's request, or its answer, is lost.
-func (f *fleet) losesLoan() bool {
+// losesMessage reports whether a message between instances, or its answer, is lost.
+func (f *fleet) losesMessage() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.luck.Float64() < f.loseLoan
+	return f.faultRand.Float64() < f.loseMessageChance
 }
 
 func (f *fleet) clock() time.Time {
@@ -159,32 +160,32 @@
 	f.mu.Unlock()
 }
 
-// land lets late writes take effect whose condition still holds.
-func (f *fleet) land() {
+// applyLateWrites applies the late writes whose condition still holds.
+func (f *fleet) applyLateWrites() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, w := range f.late {
-		if f.shards[w.era].version == w.on {
+	for _, w := range f.lateWrites {
+		if f.shards[w.era].version == w.version {
 			f.write(w.era, w.value)
 		}
 	}
-	f.late = nil
+	f.lateWrites = nil
 }
 
 // write replaces the object of an era; f.mu is held.
 func (f *fleet) write(era uint64, value []byte) {
-	f.past = append(f.past, maps.Clone(f.shards))
+	f.history = append(f.history, maps.Clone(f.shards))
 	f.shards[era] = fakeObject{value: value, version: f.shards[era].version + 1}
 }
 
-// goBack puts the store back behind its last writes, under the next era.
-func (f *fleet) goBack(writes int) {
+// rollBack restores the store's state before its last writes, under the next era.
+func (f *fleet) rollBack(writes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := max(len(f.past)-writes, 0)
-	if at < len(f.past) {
-		f.shards = maps.Clone(f.past[at])
-		f.past = f.past[:at]
+	at := max(len(f.history)-writes, 0)
+	if at < len(f.history) {
+		f.shards = maps.Clone(f.history[at])
+		f.history = f.history[:at]
 	}
 	f.era++
 }
@@ -195,9 +196,9 @@
 	return f.era
 }
 
-// object returns the present era's object, made of the newest older one if there is none, as the
-// real ledger does.
-func (f *fleet) object() (era, version uint64, s *prepaid.Shard, err error) {
+// currentObject returns the current era's object. If there is none, it is created from the newest
+// older one, as the real ledger does.
+func (f *fleet) currentObject() (era, version uint64, s *prepaid.Shard, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if present, exists := f.shards[f.era]; exists || f.era == 1 {
@@ -213,50 +214,50 @@
 	return f.era, 0, s, err
 }
 
-// configured returns the configuration in force.
-func (f *fleet) configured() prepaid.Amounts {
+// currentAmounts returns the configuration in force.
+func (f *fleet) currentAmounts() prepaid.Amounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.amounts
 }
 
-// away reports whether the ledger does not answer an instance.
-func (m *member) away() bool {
+// storeUnreachable reports whether the ledger does not answer an instance.
+func (m *member) storeUnreachable() bool {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	return m.fleet.down || m.cut || m.dead || m.noStore
+	return m.fleet.storeDown || m.partitioned || m.dead || m.storeCut
 }
 
-// holds reports whether one acknowledgement is held up.
-func (f *fleet) holds() bool {
+// delaysAck reports whether one acknowledgement is delayed.
+func (f *fleet) delaysAck() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.luck.Float64() < f.hold
+	return f.faultRand.Float64() < f.ackDelayChance
 }
 
-// change sets how the fleet is while messages are on their way.
-func (f *fleet) change(set func()) {
+// update changes the fleet's state while messages may be in progress.
+func (f *fleet) update(set func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	set()
 }
 
-// sawEra has the instance note the era that an answer of the store told.
-func (m *member) sawEra() { m.NoteEra(m.fleet.storeEra()) }
+// noteStoreEra tells the node the era of an answer of the store.
+func (m *member) noteStoreEra() { m.NoteEra(m.fleet.storeEra()) }
 
-// Update implements prepaid.Ledger: as the real one it reads, changes, writes
-// under a condition, and tries again after a conflict or a lost answer.
+// Update implements prepaid.Ledger. Like the real one, it reads, changes, writes conditionally, and
+// retries after a conflict or a lost answer.
 func (m *member) Update(_ context.Context, _, tries int, change func(*prepaid.Shard) error) error {
 	f := m.fleet
 	for range min(tries, 4) {
 		f.mu.Lock()
 		f.tries++
 		f.mu.Unlock()
-		if m.away() {
+		if m.storeUnreachable() {
 			return errLost
 		}
-		m.sawEra()
-		era, version, s, err := f.object()
+		m.noteStoreEra()
+		era, version, s, err := f.currentObject()
 		if err != nil {
 			return err
 		}
@@ -268,8 +269,8 @@
 			return err
 		}
 		if m.put(era, version, encoded) {
-			if f.holds() {
-				time.Sleep(heldFor)
+			if f.delaysAck() {
+				time.Sleep(ackDelay)
 			}
 			return nil
 		}
@@ -277,17 +278,17 @@
 	return errLost
 }
 
-// put reports whether a write succeeded and said so.
+// put reports whether a write succeeded and was acknowledged.
 func (m *member) put(era, version uint64, value []byte) bool {
 	f := m.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	lost, late := f.luck.Float64() < f.lose, f.luck.Float64() < 0.5
+	lost, late := f.faultRand.Float64() < f.loseAckChance, f.faultRand.Float64() < 0.5
 	if era != f.era || version != f.shards[era].version {
 		return false
 	}
 	if lost && late {
-		f.late = append(f.late, lateWrite{era: era, on: version, value: value})
+		f.lateWrites = append(f.lateWrites, lateWrite{era: era, version: version, value: value})
 		return false
 	}
 	f.write(era, value)
@@ -297,12 +298,12 @@
 // Lend implements prepaid.Peers.
 func (m *member) Lend(ctx context.Context, to, budget string, need, ahead int64) (int64, error) {
 	peer := m.fleet.find(to)
-	if m.fleet.unreachable(m, peer) || m.fleet.losesLoan() {
+	if m.fleet.unreachable(m, peer) || m.fleet.losesMessage() {
 		return 0, errLost
 	}
 	tokens := peer.Node.Lend(ctx, budget, need, ahead)
-	if m.fleet.losesLoan() {
-		return 0, errLost // lent, and the answer lost
+	if m.fleet.losesMessage() {
+		return 0, errLost // the tokens were lent and the answer was lost
 	}
 	return tokens, nil
 }
@@ -326,11 +327,11 @@
 	return nil
 }
 
-// Others implements prepaid.Fleet. With deaths known, it does not name who is dead or cut off.
+// Others implements prepaid.Fleet. If deathsKnown, it omits dead and partitioned instances.
 func (m *member) Others() []string {
 	var names []string
 	for _, other := range m.fleet.members() {
-		if other != m && !m.fleet.knownGone(other) {
+		if other != m && !m.fleet.isKnownGone(other) {
 			names = append(names, other.name)
 		}
 	}
@@ -341,24 +342,24 @@
 func (m *member) Joined() bool {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	return !m.fleet.unknown
+	return !m.fleet.notJoined
 }
 
-// Known implements prepaid.Fleet.
+// NumKnown implements prepaid.Fleet.
 func (m *member) Known() int { return len(m.fleet.members()) }
 
-// Live implements prepaid.Fleet; as Others.
+// Live implements prepaid.Fleet, with the same view as Others.
 func (m *member) Live(name string) (string, bool) {
-	if other := m.fleet.find(name); other != nil && m.fleet.knownGone(other) {
+	if other := m.fleet.find(name); other != nil && m.fleet.isKnownGone(other) {
 		return "", true
 	}
 	return name, name != ""
 }
 
-// Meet implements prepaid.Fleet; all are known.
+// Discover implements prepaid.Fleet; all instances are known.
 func (m *member) Meet(string) {}
 
-// Counts implements prepaid.Fleet.
+// SharesBudgets implements prepaid.Fleet.
 func (m *member) Counts(string) bool { return true }
 
 // Drawers implements prepaid.Fleet.
@@ -368,7 +369,7 @@
 	return m.fleet.drawers
 }
 
-// OtherDrawers implements prepaid.Fleet; all instances are of one domain.
+// OtherDrawers implements prepaid.Fleet; there is only one region.
 func (m *member) OtherDrawers(int) []string { return nil }
 
 // Witnesses implements prepaid.Fleet.
@@ -379,15 +380,15 @@
 	_ context.Context, to string, req *prepaidpb.WitnessRequest,
 ) (*prepaidpb.WitnessReply, error) {
 	peer := m.fleet.find(to)
-	if m.fleet.unreachable(m, peer) || m.fleet.losesLoan() {
+	if m.fleet.unreachable(m, peer) || m.fleet.losesMessage() {
 		return nil, errLost
 	}
 	reply := peer.Node.Witness(req)
 	if !reply.Declined {
-		m.fleet.noteWitness(peer, req.Row)
+		m.fleet.recordWitness(peer, req.Row)
 	}
-	if m.fleet.losesLoan() {
-		return nil, errLost // remembered, and the answer lost
+	if m.fleet.losesMessage() {
+		return nil, errLost // the draw was remembered and the answer was lost
 	}
 	return reply, nil
 }
@@ -397,37 +398,37 @@
 	ctx context.Context, to string, req *prepaidpb.RefillRequest,
 ) (*prepaidpb.RefillReply, error) {
 	peer := m.fleet.find(to)
-	if m.fleet.unreachable(m, peer) || m.fleet.losesLoan() {
+	if m.fleet.unreachable(m, peer) || m.fleet.losesMessage() {
 		return nil, errLost
 	}
 	reply := peer.Node.Refill(ctx, req)
-	if m.fleet.losesAnswer() || m.fleet.losesLoan() {
-		return nil, errLost // dealt out, and the answer lost
+	if m.fleet.losesAnswer() || m.fleet.losesMessage() {
+		return nil, errLost // the tokens were dealt out and the answer was lost
 	}
 	return reply, nil
 }
 
-// noteWitness notes what a witness has seen.
-func (f *fleet) noteWitness(witness *member, row *prepaidpb.SeenRow) {
+// recordWitness records what a witness has seen.
+func (f *fleet) recordWitness(witness *member, row *prepaidpb.SeenRow) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.seenBy[row.Writer] == nil {
-		f.seenBy[row.Writer] = map[string]map[string]int64{}
+	if f.witnessedBy[row.Writer] == nil {
+		f.witnessedBy[row.Writer] = map[string]map[string]int64{}
 	}
 	for _, c := range row.Counters {
-		if f.seenBy[row.Writer][c.Budget] == nil {
-			f.seenBy[row.Writer][c.Budget] = map[string]int64{}
+		if f.witnessedBy[row.Writer][c.Budget] == nil {
+			f.witnessedBy[row.Writer][c.Budget] = map[string]int64{}
 		}
-		f.seenBy[row.Writer][c.Budget][witness.name] = c.Drawn
+		f.witnessedBy[row.Writer][c.Budget][witness.name] = c.Drawn
 	}
 }
 
-// witnessesOf returns who has seen that a writer has drawn so much of a budget.
+// witnessesOf returns who has seen that a writer has drawn that much of a budget.
 func (f *fleet) witnessesOf(writer, budget string, drawn int64) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var names []string
-	for name, seen := range f.seenBy[writer][budget] {
+	for name, seen := range f.witnessedBy[writer][budget] {
 		if seen >= drawn {
 			names = append(names, name)
 		}
@@ -451,5 +452,5 @@
 // Recovered implements prepaid.Observer.
 func (m *member) Recovered(prepaid.Recovered) {}
 
-// Resting implements prepaid.Observer.
+// DrawerAvoided implements prepaid.Observer.
 func (m *member) Resting(string, time.Duration, error) {}
--- a/pkg/prepaid/lenders.go
+++ b/pkg/prepaid/lenders.go
@@ -9,67 +9,68 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// lendersNamed is how many instances a drawer names at most to one that lacks tokens: each is a message
-// that the request waits for.
-const lendersNamed = 6
+// maxNamedLenders bounds the lenders that a drawer names to a requester: the request waits for one
+// message to each.
+const maxNamedLenders = 6
 
-// lendersFor returns those whose free tokens together are what a request waits for, the one with most
-// first, and counts the tokens as lent; none if too few instances have enough. In an outage what all hold
-// is one stock, of which each holds a part that is smaller than one large request. n.mu is held.
-func (n *Node) lendersFor(shard int, asker string, waiting *prepaidpb.Demand) []string {
-	askers := n.shards[shard].askers
+// selectLenders returns instances whose free tokens together cover a waiting request, the one with
+// the most first, and deducts the tokens as lent. It returns none if maxNamedLenders instances do
+// not have enough. In a store outage the tokens held by all instances are one stock, but each
+// single part may be smaller than one large request. n.mu is held.
+func (n *Node) selectLenders(shard int, requesterID string, waiting *prepaidpb.Demand) []string {
+	requesters := n.shards[shard].requesters
 	free := map[string]int64{}
-	for name, a := range askers {
-		b := a.budgets[waiting.Budget]
-		if name != asker && b != nil && b.free > 0 && n.Now().Sub(a.heard) <= askerSilent {
+	for name, r := range requesters {
+		b := r.budgets[waiting.Budget]
+		if name != requesterID && b != nil && b.free > 0 && n.Now().Sub(r.reportedAt) <= requesterTimeout {
 			free[name] = b.free
 		}
 	}
 	lenders := slices.SortedFunc(maps.Keys(free), func(a, b string) int {
 		return cmp.Or(cmp.Compare(free[b], free[a]), cmp.Compare(a, b))
 	})
-	lacks := waiting.Need
-	for count, name := range lenders[:min(lendersNamed, len(lenders))] {
-		if lacks -= free[name]; lacks <= 0 {
-			n.countLent(askers, lenders[:count+1], waiting)
+	missing := waiting.Need
+	for count, name := range lenders[:min(maxNamedLenders, len(lenders))] {
+		if missing -= free[name]; missing <= 0 {
+			n.deductLent(requesters, lenders[:count+1], waiting)
 			return lenders[:count+1]
 		}
 	}
 	return nil
 }
 
-// countLent takes what lenders will lend from what they have as far as this instance knows; n.mu is
-// held.
-func (n *Node) countLent(askers map[string]*asker, lenders []string, waiting *prepaidpb.Demand) {
-	lacks := waiting.Need
+// deductLent deducts what the lenders are expected to lend from their last reported free tokens;
+// n.mu is held.
+func (n *Node) deductLent(requesters map[string]*requester, lenders []string, waiting *prepaidpb.Demand) {
+	missing := waiting.Need
 	for _, name := range lenders {
-		b := askers[name].budgets[waiting.Budget]
-		lent := min(b.free, lacks)
+		b := requesters[name].budgets[waiting.Budget]
+		lent := min(b.free, missing)
 		b.free -= lent
-		lacks -= lent
+		missing -= lent
 	}
 }
 
-// borrowPieces takes tokens from lenders, from each what it has at hand, until there are as many as a
-// request needs.
-func (n *Node) borrowPieces(ctx context.Context, lenders []string, budget string, tokens int64) {
+// borrowFromEach borrows free tokens from the lenders, one after the other, until there are enough
+// for a request.
+func (n *Node) borrowFromEach(ctx context.Context, lenders []string, budget string, tokens int64) {
 	for _, lender := range lenders {
 		n.mu.Lock()
-		lacks := tokens - n.purse(budget).free
+		missing := tokens - n.position(budget).free
 		n.mu.Unlock()
-		if lacks <= 0 || ctx.Err() != nil {
+		if missing <= 0 || ctx.Err() != nil {
 			return
 		}
-		_ = n.askLender(ctx, lender, budget, 0, lacks) // the next one is asked for what is still lacking
+		_ = n.requestLoan(ctx, lender, budget, 0, missing) // after an error the next lender is asked for what is still missing
 	}
 }
 
-// lendAtHand hands over up to so many tokens of what is at hand.
-func (n *Node) lendAtHand(budget string, most int64) int64 {
+// lendFree hands over up to maxTokens of the free tokens that no request waits for.
+func (n *Node) lendFree(budget string, maxTokens int64) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.purse(budget)
-	lent := max(min(most, p.free-p.waiting), 0)
+	p := n.position(budget)
+	lent := max(min(maxTokens, p.free-p.waiting), 0)
 	p.free -= lent
 	return lent
 }
--- a/pkg/prepaid/loan.go
+++ b/pkg/prepaid/loan.go
@@ -9,20 +9,20 @@
 // errNoLender means that no peer that answered had tokens to spare.
 var errNoLender = errors.New("no peer had tokens to spare")
 
-// borrow asks peers for a need, one after the other: each that is asked may lend.
+// borrow asks peers for the missing tokens, one after the other, until one lends.
 func (n *Node) borrow(ctx context.Context, budget string, need int64) error {
 	n.mu.Lock()
-	p := n.purse(budget)
+	p := n.position(budget)
 	need -= p.free
 	ahead := int64(p.perSecond * loanAhead.Seconds())
-	resting := n.Now().Before(p.lendersRest)
+	avoided := n.Now().Before(p.lendersAvoidedUntil)
 	n.mu.Unlock()
-	if resting {
+	if avoided {
 		return errNoLender
 	}
 	peers := n.Fleet.Others()
-	for _, peer := range peers[:min(peersAsked, len(peers))] {
-		if n.askLender(ctx, peer, budget, need, ahead) == nil {
+	for _, peer := range peers[:min(maxLoanPeers, len(peers))] {
+		if n.requestLoan(ctx, peer, budget, need, ahead) == nil {
 			return nil
 		}
 		if ctx.Err() != nil {
@@ -30,39 +30,38 @@
 		}
 	}
 	n.mu.Lock()
-	p.lendersRest = n.Now().Add(lendersRestFor)
+	p.lendersAvoidedUntil = n.Now().Add(lenderBackoff)
 	n.mu.Unlock()
 	return errNoLender
 }
 
-// askLender asks one peer, and waits for it for lenderPatience.
-func (n *Node) askLender(ctx context.Context, peer, budget string, need, ahead int64) error {
+// requestLoan asks one peer for a loan and waits at most lenderTimeout.
+func (n *Node) requestLoan(ctx context.Context, peer, budget string, need, ahead int64) error {
 	answer := make(chan error, 1)
-	go func() { answer <- n.borrowFrom(peer, budget, need, ahead) }()
+	go func() { answer <- n.callLend(peer, budget, need, ahead) }()
 	select {
 	case err := <-answer:
 		return err
-	case <-time.After(lenderPatience):
+	case <-time.After(lenderTimeout):
 		return errNoLender
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// lendersRestFor is how long peers that had nothing, or did not answer, are not
-// asked again for the same budget.
-const lendersRestFor = 300 * time.Millisecond
+// lenderBackoff is how long no peer is asked for a budget after none had tokens or answered.
+const lenderBackoff = 300 * time.Millisecond
 
-// Bounds of one question to a peer.
+// Bounds of one loan request.
 const (
-	// lenderPatience is how long a peer is waited for before the next is asked.
-	lenderPatience = 120 * time.Millisecond
-	// loanTimeout bounds the question itself. It goes on when the request that
-	// asked has given up: tokens whose answer nobody takes are lost to the budget.
+	// lenderTimeout is how long to wait for one peer before asking the next.
+	lenderTimeout = 120 * time.Millisecond
+	// loanTimeout bounds the call itself. It continues after the waiting request has given up: lent
+	// tokens whose reply is not received are lost to the budget.
 	loanTimeout = time.Second
 )
 
-func (n *Node) borrowFrom(peer, budget string, need, ahead int64) error {
+func (n *Node) callLend(peer, budget string, need, ahead int64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), loanTimeout)
 	defer cancel()
 	tokens, err := n.Peers.Lend(ctx, peer, budget, need, ahead)
@@ -73,36 +72,35 @@
 		return errNoLender
 	}
 	n.mu.Lock()
-	n.purse(budget).free += tokens
+	n.position(budget).free += tokens
 	n.mu.Unlock()
 	n.Observer.Borrowed(budget, peer, tokens)
 	return nil
 }
 
-// Lend hands tokens over to another instance: the need if it can be met from
-// what is at hand or from the ledger, and up to half of the rest. Without a need it hands over what is
-// at hand, up to ahead.
+// Lend hands tokens over to another instance: need if the free tokens or the ledger can cover it,
+// and up to half of the remaining free tokens. If need is 0, it hands over free tokens up to ahead.
 func (n *Node) Lend(ctx context.Context, budget string, need, ahead int64) int64 {
 	switch {
-	case n.stops() || need < 0 || ahead < 0:
+	case n.isStopping() || need < 0 || ahead < 0:
 		return 0
 	case need == 0:
-		return n.lendAtHand(budget, ahead)
+		return n.lendFree(budget, ahead)
 	}
 	if found, err := n.withdraw(ctx, budget, need); err != nil || !found {
-		return 0 // the asker tries others
+		return 0 // the borrower asks another peer
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.purse(budget)
+	p := n.position(budget)
 	more := max(min(ahead, p.free/2), 0)
 	p.free -= more
-	p.demand += need + more // so that this instance holds enough for those that ask it
+	p.demand += need + more // so that this instance holds enough for its borrowers, too
 	p.largest = max(p.largest, need)
 	return need + more
 }
 
-func (n *Node) stops() bool {
+func (n *Node) isStopping() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stopping
--- a/pkg/prepaid/merge.go
+++ b/pkg/prepaid/merge.go
@@ -1,29 +1,30 @@
 package prepaid
 
-// The store may come back from a copy of itself that is some seconds old. The draws of these
-// seconds are missing in the copy, and their tokens look free while callers spend them. What is
-// missing is brought back by those that have seen it: each writer knows its own counters, who
-// writes sees all rows, and what a drawer deals out carries its own count. Counters only grow, so
-// the truth of each is the highest that anybody has seen, whoever brings it and how often.
+// The store may be restored from a copy of itself that is some seconds old. The draws of these
+// seconds are missing in the copy, and their tokens look free while callers are spending them.
+// Instances that have seen these draws restore them: each writer knows its own counters, each
+// writer sees all rows of the object, and a drawer sends its own count with the tokens that it
+// deals out. Counters only grow, so the correct value of each is the highest that any instance has
+// seen, no matter who reports it or how often.
 //
-// The ledger object of a new era is *unsettled* until all living instances have told what they
+// The ledger object of a new era is *unsettled* until all live instances have reported what they
 // have seen. Nothing is drawn from it until then.
 
-// Begin makes a shard, which was copied from an older era's object, the one of an era.
+// BeginEra turns a shard that was copied from an older era's object into the shard of a new era.
 func (s *Shard) Begin(era uint64) {
-	s.Era, s.Unsettled, s.Told = era, true, nil
+	s.Era, s.Unsettled, s.Reported = era, true, nil
 }
 
-// Row is what is known of one writer's counters.
+// Row is what an instance knows of one writer's counters.
 type Row struct {
 	Counters map[string]Counter
-	// Own says that the writer itself tells it. Raising what is returned makes tokens free, so
-	// that is taken from the writer only; what others saw drawn is taken from anybody.
+	// Own says that the writer itself reports the row. A higher returned count frees tokens, so it
+	// is accepted from the writer only; a higher drawn count is accepted from any instance.
 	Own bool
 }
 
-// Merge raises a writer's row to what has been seen of it, and the grants with it. What is lower
-// changes nothing. It returns how many tokens it brought back.
+// Merge raises a writer's counters to those seen, and the budgets' granted totals with them. Lower
+// counters change nothing. It returns how many drawn tokens were restored.
 func (s *Shard) Merge(writer string, seen Row) (tokens int64) {
 	row := s.Writers[writer]
 	counters := make(map[string]Counter, len(row.Counters))
@@ -54,18 +55,18 @@
 	return tokens
 }
 
-// Tell notes that an incarnation has told what it has seen.
-func (s *Shard) Tell(incarnation string) {
-	if s.Told == nil {
-		s.Told = map[string]bool{}
+// MarkReported records that an incarnation has reported what it has seen.
+func (s *Shard) MarkReported(incarnation string) {
+	if s.Reported == nil {
+		s.Reported = map[string]bool{}
 	}
-	s.Told[incarnation] = true
+	s.Reported[incarnation] = true
 }
 
-// Settle lets tokens be drawn again. The reserves, by the name of an instance that has not told and
-// by budget, stay undrawn: that instance may hold a draw that nobody else saw.
+// Settle allows draws again. The reserves, by the name of an instance that has not reported and by
+// budget, stay undrawn, since that instance may hold a draw that no other instance has seen.
 func (s *Shard) Settle(reserves map[string]map[string]int64) {
-	s.Unsettled, s.Told = false, nil
+	s.Unsettled, s.Reported = false, nil
 	for name, reserve := range reserves {
 		if len(reserve) == 0 {
 			continue
@@ -77,8 +78,8 @@
 	}
 }
 
-// reservePart bounds what all reserves hold of what is free, as a divisor.
-const reservePart = 2
+// reserveDivisor: all reserves together hold at most 1/reserveDivisor of the free tokens.
+const reserveDivisor = 2
 
 // Free returns the tokens of a budget that may be drawn.
 func (s *Shard) Free(id string) int64 {
@@ -90,5 +91,5 @@
 	for _, reserve := range s.Reserves {
 		reserved += reserve[id]
 	}
-	return free - min(reserved, free/reservePart)
+	return free - min(reserved, free/reserveDivisor)
 }
--- a/pkg/prepaid/node_test.go
+++ b/pkg/prepaid/node_test.go
@@ -12,7 +12,7 @@
 
 const account = "account-0"
 
-// spend reserves and settles one request whole, and reports whether it was let in.
+// spend reserves and settles one request whole, and reports whether it was accepted.
 func spend(t *testing.T, m *member, tokens int64) bool {
 	t.Helper()
 	r, err := m.Reserve(t.Context(), account, tokens, true)
@@ -23,7 +23,7 @@
 	return true
 }
 
-// tick lets every instance do its regular work and time pass.
+// tick advances the time and calls Tick on every live instance.
 func (f *fleet) tick() {
 	f.advance(500 * time.Millisecond)
 	for _, m := range f.nodes {
@@ -34,9 +34,9 @@
 	synctest.Wait()
 }
 
-// One account's callers reach all instances until nothing is left. Tokens lie at
-// several instances then; the callers get all but a few hundredths of what was
-// prepaid, because what an instance does not need goes back when it runs short.
+// Requests for one account reach all instances until nothing is left, when several instances hold
+// tokens. All but a few hundredths of the prepaid tokens are served, because instances return their
+// surplus when the budget runs short.
 func TestNearlyAllIsServedToTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all = 100_000
@@ -57,9 +57,9 @@
 	})
 }
 
-// All instances are cut off from the store and from each other for seven seconds
-// while their callers go on as before. Almost all are served, from what was drawn
-// ahead, and refused ones are told that the store is away, not that it is over.
+// All instances are partitioned from the store and from each other for seven seconds under steady
+// load. Almost all requests are served, from tokens drawn ahead, and refused ones are told that the
+// store is unavailable, not that the budget is exhausted.
 func TestCutOffInstancesGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2, 4, map[string]int64{account: 10_000_000})
@@ -78,13 +78,13 @@
 		}
 		load(20)
 		for _, m := range f.nodes {
-			m.cut = true
+			m.partitioned = true
 		}
 		served, refused := load(14)
 		if refused > served/20 {
-			t.Errorf("%d served, %d refused while cut off", served, refused)
+			t.Errorf("%d served, %d refused while partitioned", served, refused)
 		}
-		load(20) // until nothing is at hand
+		load(20) // until all free tokens are spent
 		_, err := f.nodes[0].Reserve(t.Context(), account, 300, true)
 		var short *prepaid.ShortError
 		if !errors.As(err, &short) || short.Exhausted {
@@ -93,15 +93,15 @@
 	})
 }
 
-// The store does not answer one instance; the others reach it. A caller of that
-// instance is served with tokens that another instance lends.
+// The store does not answer one instance, but the others. A request at that instance is served with
+// tokens that another instance lends.
 func TestPeersLendWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, 3, map[string]int64{account: 1_000_000})
 		alone := f.nodes[0]
-		turnedAway := errors.New("turned away")
+		errRefused := errors.New("refused")
 		lone := prepaid.NewNode(prepaid.Config{Self: "lone", Shards: 1, Ahead: time.Second}, prepaid.Deps{
-			Ledger:   refusing{turnedAway},
+			Ledger:   failingLedger{errRefused},
 			Peers:    alone,
 			Fleet:    alone,
 			Observer: alone,
@@ -116,12 +116,14 @@
 	})
 }
 
-type refusing struct{ err error }
+type failingLedger struct{ err error }
 
-func (r refusing) Update(context.Context, int, int, func(*prepaid.Shard) error) error { return r.err }
+func (r failingLedger) Update(context.Context, int, int, func(*prepaid.Shard) error) error {
+	return r.err
+}
 
-// An account is used up. Its callers are refused for good, at once and without a
-// call to the store for each; a top-up lets the next one in.
+// An account is used up. Requests are refused as exhausted, at once and without a store call for
+// each; after a top-up the next one is served.
 func TestExhaustedUntilToppedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(4, 2, map[string]int64{account: 1000})
@@ -138,7 +140,7 @@
 			spend(t, f.nodes[0], 300)
 		}
 		if f.shards[f.era].version != before {
-			t.Errorf("%d writes for refusals that were known", f.shards[f.era].version-before)
+			t.Errorf("%d writes for requests that are known to exceed the budget", f.shards[f.era].version-before)
 		}
 		f.amounts = prepaid.Amounts{Version: 2, Tokens: map[string]int64{account: 2000}}
 		if !spend(t, f.nodes[0], 300) {
@@ -147,7 +149,7 @@
 	})
 }
 
-// A planned stop returns what is not spent: another instance serves with it.
+// A planned stop returns unspent tokens, and another instance serves a request with them.
 func TestStopReturnsTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(5, 2, map[string]int64{account: 1000})
@@ -158,19 +160,19 @@
 		f.nodes[0].Settle(r, 100)
 		f.nodes[0].Stop(t.Context())
 		if !spend(t, f.nodes[1], 900) {
-			t.Error("the returned tokens were not to be had")
+			t.Error("the returned tokens could not be reserved")
 		}
 	})
 }
 
-// The store does not answer an instance, and the peer it asks first answers late,
-// when the caller that needed the tokens has been refused. The tokens are not
-// lost: the next caller is served with them.
+// The store does not answer an instance, and the peer that it asks first answers after the waiting
+// request was refused. Guards against the loss of the lent tokens: the next request is served with
+// them.
 func TestLateLoanServesTheNextCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(6, 2, map[string]int64{account: 100_000})
 		lone := prepaid.NewNode(prepaid.Config{Self: "lone", Shards: 1, Ahead: time.Second}, prepaid.Deps{
-			Ledger:   refusing{errLost},
+			Ledger:   failingLedger{errLost},
 			Peers:    &slowLender{member: f.nodes[0], delay: 300 * time.Millisecond},
 			Fleet:    f.nodes[0],
 			Observer: f.nodes[0],
@@ -190,7 +192,7 @@
 	})
 }
 
-// slowLender answers late, unless it is told to stop.
+// slowLender answers after a delay unless its context ends.
 type slowLender struct {
 	*member
 	delay time.Duration
@@ -207,7 +209,7 @@
 	}
 }
 
-// slowLedger takes a few milliseconds for each change, as the store does.
+// slowLedger takes a few milliseconds for each update, as the store does.
 type slowLedger struct{ *member }
 
 // Update implements prepaid.Ledger.
@@ -218,9 +220,9 @@
 	return err
 }
 
-// Many callers of an account with plenty of tokens reach one instance while its first
-// draw is on its way. What was drawn for one is taken by another that came later. None
-// is told that the account is exhausted, which is final: the ledger has enough.
+// Many requests for an account with plenty of tokens reach one instance during its first draw.
+// Tokens drawn for one request are taken by another that came later. Guards against a request that
+// is refused as exhausted, which is final, though the ledger has enough.
 func TestTokensTakenByOthersAreNotExhaustion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(12, 1, map[string]int64{account: 1 << 40})
--- /dev/null
+++ b/pkg/prepaid/position.go
@@ -0,0 +1,173 @@
+package prepaid
+
+import "time"
+
+// How demand is measured.
+const (
+	// demandWindow is the time over which demand is averaged. Requests of one account reach one
+	// instance every few seconds and cost up to ten thousand tokens, so with a shorter window
+	// single requests would look like a rate.
+	demandWindow = 8 * time.Second
+	// minDemandWindow is the time over which the first demand is averaged, since one request in the
+	// first half second is not a rate. After that the mean is over all time up to demandWindow.
+	// Exponential smoothing from zero measured steady demand as two thirds of its value after three
+	// seconds and nine tenths after ten, and tokens lasted that much less through an early
+	// partition.
+	minDemandWindow = 3 * time.Second
+	// sizeSmoothing is the weight of the newest request in the typical size.
+	sizeSmoothing = 0.1
+	// surplusDivisor: a surplus is returned only if it exceeds 1/surplusDivisor of what should be
+	// held. Tokens that move with each write would serve nobody.
+	surplusDivisor = 4
+)
+
+// position is what one instance holds of one budget. Invariant: free + reserved + spent + lent +
+// counter.Returned = counter.Drawn + borrowed. Tokens are deducted from free before any message or
+// write that moves them is sent.
+type position struct {
+	free     int64
+	reserved int64
+	// counter is the part of the instance's counter in the ledger that the position includes.
+	// Returned is ahead of the ledger until a write has succeeded.
+	counter Counter
+	// returnedInLedger is the part of counter.Returned that the ledger has recorded.
+	returnedInLedger int64
+
+	// demand is what was reserved and not settled as unused since the last tick; perSecond is its
+	// average.
+	demand    int64
+	perSecond float64
+	// measuredFor is how long demand has been measured.
+	measuredFor time.Duration
+	// typicalSize is the smoothed size of reservations; largest is the largest of late.
+	typicalSize float64
+	largest     int64
+
+	// waiting is the sum of what requests that wait for the next write need.
+	waiting int64
+
+	// scarce says that the ledger, when it was last seen, had less than one large request for each
+	// instance that draws; depleted says that it had less than one. Both stand until the ledger is
+	// seen again or the account is topped up. If they expired, each instance would draw the last
+	// tokens and return them again and again.
+	scarce, depleted bool
+	// prepaid is the prepaid amount when the ledger was last seen.
+	prepaid int64
+	// ledgerFree is what could be drawn from the ledger when it was last seen, at ledgerSeenAt.
+	ledgerFree   int64
+	ledgerSeenAt time.Time
+	// keepTarget is how many tokens the drawer told this instance to hold, at keepTargetAt.
+	keepTarget   int64
+	keepTargetAt time.Time
+	// servedPerSecond is the demand of all instances that this one draws for, numActive the number
+	// of them that have any; elsewherePerSecond is the demand at all other drawers.
+	servedPerSecond, elsewherePerSecond float64
+	// heldByRequesters is what the instances that this one draws for had free, heldElsewhere what
+	// the other drawers and those they draw for had free.
+	heldByRequesters, heldElsewhere int64
+	numActive                       int
+	// owed is what requesters should have been dealt since the last write and were not.
+	owed int64
+	// lendersAvoidedUntil is the time until which peers are not asked for this budget.
+	lendersAvoidedUntil time.Time
+}
+
+// take removes tokens from the free ones if there are enough.
+func (p *position) take(tokens int64) bool {
+	if tokens > p.free {
+		return false
+	}
+	p.free -= tokens
+	return true
+}
+
+// reserve records that tokens, which were taken before, are set aside for a request.
+func (p *position) reserve(tokens int64) {
+	p.reserved += tokens
+	p.demand += tokens
+	p.largest = max(p.largest, tokens)
+	if p.typicalSize == 0 {
+		p.typicalSize = float64(tokens)
+	}
+	p.typicalSize += sizeSmoothing * (float64(tokens) - p.typicalSize)
+}
+
+func (p *position) settle(tokens, used int64) {
+	p.reserved -= tokens
+	p.free += tokens - used
+	p.demand -= tokens - used
+}
+
+func (p *position) tick(interval time.Duration) {
+	p.measuredFor += interval
+	if p.measuredFor <= minDemandWindow {
+		p.perSecond += float64(p.demand) / minDemandWindow.Seconds()
+	} else {
+		rate := float64(p.demand) / interval.Seconds()
+		weight := min(interval.Seconds()/min(p.measuredFor, demandWindow).Seconds(), 1)
+		p.perSecond += weight * (rate - p.perSecond)
+	}
+	p.perSecond = max(p.perSecond, 0)
+	p.demand = 0
+	p.largest -= p.largest / 32
+}
+
+// target returns how many free tokens the instance wants to hold: its demand for a time, but at
+// least one typical request once there has been demand.
+func (p *position) target(ahead time.Duration) int64 {
+	if p.perSecond < 1 || p.depleted {
+		return 0
+	}
+	return int64(max(p.perSecond*ahead.Seconds(), p.typicalSize))
+}
+
+// holdTime returns for how much time of demand tokens of the budget are held.
+func (p *position) holdTime(maxHold time.Duration) time.Duration {
+	demand := p.servedPerSecond + p.elsewherePerSecond
+	if demand < 1 {
+		return maxHold
+	}
+	return holdTimeFor(time.Duration(p.knownFree()/demand*float64(time.Second)), maxHold)
+}
+
+// knownFree returns the unreserved tokens of the budget, in the ledger and at instances, as far as
+// this instance knows.
+func (p *position) knownFree() float64 {
+	return float64(max(p.ledgerFree, 0) + p.heldElsewhere + p.heldByRequesters + p.free)
+}
+
+// recordLedger records the ledger's view of the budget: what is prepaid and what may be drawn.
+func (p *position) recordLedger(prepaid, left int64, instances int, now time.Time) {
+	instances = max(instances, 1)
+	p.ledgerFree, p.ledgerSeenAt = left, now
+	p.prepaid = prepaid
+	p.scarce = left < p.largest*int64(instances)
+	p.depleted = left < p.largest
+}
+
+// noteTopUp clears what is known of a shortage if more is prepaid now.
+func (p *position) noteTopUp(prepaid int64) {
+	if prepaid > p.prepaid {
+		p.scarce, p.depleted, p.ledgerSeenAt = false, false, time.Time{}
+	}
+}
+
+// returnTokens takes tokens out of the free ones; the next write returns them.
+func (p *position) returnTokens(tokens int64) {
+	tokens = min(tokens, p.free)
+	if tokens > 0 {
+		p.free -= tokens
+		p.counter.Returned += tokens
+	}
+}
+
+// applyCounter updates the position from its counter in the ledger, and returns how many tokens
+// were drawn and returned since.
+func (p *position) applyCounter(counter Counter) (drawn, returned int64) {
+	drawn = max(counter.Drawn-p.counter.Drawn, 0)
+	p.counter.Drawn += drawn
+	p.free += drawn
+	returned = max(counter.Returned-p.returnedInLedger, 0)
+	p.returnedInLedger += returned
+	return drawn, returned
+}
--- a/pkg/prepaid/recovery.go
+++ b/pkg/prepaid/recovery.go
@@ -10,110 +10,111 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// How an instance helps to settle a ledger object after the store came back from a copy.
+// How an instance helps to settle a ledger object after a store rollback.
 const (
-	// gatherMost is how long a shard waits for instances that share it, do not seem to live and
-	// have not told: they may only be cut off from the others and reach the store. What they
-	// may hold is reserved from then on. One that lives is waited for without end.
-	gatherMost = 2 * time.Second
-	// unsettledPause is the least time between two writes for requests while the shard is
-	// unsettled: none of them draws, and each request would make one.
-	unsettledPause = 150 * time.Millisecond
-	// unheardDraws is for how long an instance that has not told may have drawn without being
-	// seen: what its demand takes in that time is reserved.
-	unheardDraws = 4 * time.Second
-	// mostRowsTold bounds the rows seen in the store that one report tells: those that wrote last.
-	// Others have seen them there as well.
-	mostRowsTold = 16
+	// maxGatherTime is how long a shard waits for instances that share it, seem dead and have not
+	// reported: they may be partitioned from the others but still reach the store. After that,
+	// tokens are reserved for what they may hold. A live instance is waited for without limit.
+	maxGatherTime = 2 * time.Second
+	// minUnsettledWriteInterval is the minimum time between two writes for requests while the shard
+	// is unsettled. None of them draws, and without the limit each request would start one.
+	minUnsettledWriteInterval = 150 * time.Millisecond
+	// unreportedDrawTime is for how long an instance that has not reported may have drawn unseen.
+	// The reserve for it is its demand during that time.
+	unreportedDrawTime = 4 * time.Second
+	// maxStoredRowsReported bounds the rows of one report that were seen in the store, to those
+	// written last. Other instances have seen them there as well.
+	maxStoredRowsReported = 16
 )
 
-// ErrUnsettled means that the store came back from a copy and not all have told yet what they
-// had drawn. It is like a ledger that others keep busy: a moment later it can be drawn from.
-var ErrUnsettled = fmt.Errorf("ledger is not settled since the store went back: %w", ErrBusy)
+// ErrUnsettled means that the store was rolled back and not all instances have reported yet what
+// they had drawn. Like a busy ledger, the shard can be drawn from a moment later.
+var ErrUnsettled = fmt.Errorf("ledger shard is unsettled after a store rollback: %w", ErrBusy)
 
-// recovery is an instance's part in settling one shard.
+// recovery is the state of an instance's part in settling one shard.
 type recovery struct {
-	// last is the shard as it was last seen.
-	last *Shard
-	// unsettled says that this instance saw the shard unsettled, of era since a time; at is when
-	// it last wrote to it.
-	unsettled bool
-	era       uint64
-	since, at time.Time
-	// told are incarnations that told this one, evidence is what they have seen, by writer.
-	told     map[string]bool
-	evidence map[string]evidence
-	// serial counts what was told, mergedTo is how much of it the write on its way has, and
-	// mergedTold how many of those that told.
-	serial, mergedTo, mergedTold int
-	// asked is the era for which this instance is to tell what it has seen, until the object is
-	// known to be settled; 0 for none. toldEra and toldTo are what a drawer took in last, and
-	// which one.
-	asked, toldEra uint64
-	toldTo         string
+	// lastSeen is the shard as it was last seen.
+	lastSeen *Shard
+	// unsettled says that this instance has seen the shard unsettled in era, for the first time at
+	// since; writtenAt is when it last wrote the shard.
+	unsettled        bool
+	era              uint64
+	since, writtenAt time.Time
+	// reported are the incarnations that have reported to this instance, reportedRows the rows that
+	// they have seen, by writer.
+	reported     map[string]bool
+	reportedRows map[string]reportedRow
+	// serial counts the reported rows. mergedSerial is the serial up to which the write in progress
+	// includes them, numMergedReports how many incarnations' reports it includes.
+	serial, mergedSerial, numMergedReports int
+	// reportEra is the era for which this instance has to report what it has seen, until the object
+	// is known to be settled; 0 for none. ackedEra is the era of its last report that a drawer has
+	// accepted, ackedBy that drawer.
+	reportEra, ackedEra uint64
+	ackedBy             string
 }
 
-// evidence is what was told of one writer's row; serial is when.
-type evidence struct {
+// reportedRow is what was reported of one writer's row; serial orders the reports.
+type reportedRow struct {
 	Row
 	serial int
 }
 
-// NoteEra says that an answer of the store is of a later era than those before: what it had
-// acknowledged lately may be gone. Every shard that this instance has drawn from is written again.
+// NoteEra records that the store answered with a later era than before: writes that it had
+// acknowledged lately may be lost. This instance reports what it has seen for every shard.
 func (n *Node) NoteEra(era uint64) {
 	n.mu.Lock()
 	if era <= n.era {
 		n.mu.Unlock()
 		return
 	}
-	n.era, n.floor = era, max(n.floor, era)
-	n.askAll(era)
+	n.era, n.minEra = era, max(n.minEra, era)
+	n.scheduleReports(era)
 	n.mu.Unlock()
 	for shard := range n.shards {
-		go n.tell(shard)
+		go n.reportSeen(shard)
 	}
 }
 
-// NoteFirstEra says which era the store was in when it first answered this process: whatever it
-// lost before is no concern of a process that had seen nothing.
+// NoteFirstEra records the era of the store's first answer to this process. Earlier losses do not
+// concern a process that had seen nothing.
 func (n *Node) NoteFirstEra(era uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.era, n.floor, n.bornEra = max(n.era, era), max(n.floor, era), era
+	n.era, n.minEra, n.startEra = max(n.era, era), max(n.minEra, era), era
 }
 
-// askAll has this instance tell of every shard, also that it has nothing to tell: others wait for
-// that; n.mu is held.
-func (n *Node) askAll(era uint64) {
+// scheduleReports makes this instance report for every shard, even if it has seen nothing, because
+// others wait for its report; n.mu is held.
+func (n *Node) scheduleReports(era uint64) {
 	if era <= firstEra {
 		return
 	}
 	for shard := range n.shards {
 		r := &n.shards[shard].recovery
-		r.asked = max(r.asked, era)
+		r.reportEra = max(r.reportEra, era)
 	}
 }
 
-// tell has a shard learn what this instance has seen: through the drawer if there is one, else
-// by a write.
-func (n *Node) tell(shard int) {
-	if drawer := n.drawerOf(shard); drawer != "" {
-		n.report(shard, drawer)
+// reportSeen reports to the shard's drawer what this instance has seen or, if there is no drawer,
+// writes it to the ledger.
+func (n *Node) reportSeen(shard int) {
+	if drawer := n.drawerFor(shard); drawer != "" {
+		n.sendReport(shard, drawer)
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	state := &n.shards[shard]
-	if state.flight == nil && state.recovery.pending() && n.mayDraw(shard) {
-		n.begin(shard, "", 0) // it asks the store, whoever told of an era
+	if state.pendingWrite == nil && state.recovery.needsWrite() && n.mayWriteInBackground(shard) {
+		n.startWrite(shard, "", 0) // the write reads the store's era, whoever reported one
 	}
 }
 
-// ownRow is what this instance has moved of a shard's budgets; n.mu is held.
+// ownRow returns this instance's counters of a shard's budgets; n.mu is held.
 func (n *Node) ownRow(shard int) map[string]Counter {
 	counters := map[string]Counter{}
-	for id, p := range n.purses {
+	for id, p := range n.positions {
 		if n.ShardOf(id) == shard && p.counter != (Counter{}) {
 			counters[id] = p.counter
 		}
@@ -121,89 +122,89 @@
 	return counters
 }
 
-// recover brings into a shard what this instance knows that it lacks, and settles it once all
-// have told. It changes nothing when it is done again. It returns what was brought back.
-func (n *Node) recover(shard int, s *Shard) Recovered {
+// mergeRecovery merges what this instance knows into a shard, and settles the shard once all have
+// reported. It is idempotent. It returns what was restored.
+func (n *Node) mergeRecovery(shard int, s *Shard) Recovered {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := &n.shards[shard].recovery
-	done := Recovered{Shard: shard, Era: s.Era}
-	for writer, told := range r.evidence {
-		done.Tokens += s.Merge(writer, told.Row)
+	result := Recovered{Shard: shard, Era: s.Era}
+	for writer, reported := range r.reportedRows {
+		result.Tokens += s.Merge(writer, reported.Row)
 	}
-	r.mergedTo = r.serial
+	r.mergedSerial = r.serial
 	if !s.Unsettled {
-		if n.bornEra < s.Era {
-			delete(s.Reserves, n.Name) // this write tells what was reserved for
+		if n.startEra < s.Era {
+			delete(s.Reserves, n.Name) // this write includes the draws that the reserve stood for
 		}
-		return done
+		return result
 	}
-	r.see(s, n.Now())
+	r.noteUnsettled(s, n.Now())
 	for _, row := range append(n.witnessedRows(shard), n.storedRows(shard, s.Era)...) {
-		done.Tokens += s.Merge(row.writer, row.Row)
+		result.Tokens += s.Merge(row.writer, row.Row)
 	}
-	s.Tell(n.Self)
-	for incarnation := range r.told {
-		s.Tell(incarnation)
+	s.MarkReported(n.Self)
+	for incarnation := range r.reported {
+		s.MarkReported(incarnation)
 	}
-	r.mergedTold = len(r.told)
-	reserves := n.reserves(s)
-	waited := len(reserves) == 0 || n.Now().Sub(r.since) >= gatherMost
-	if waited && n.allTold(s.Told) {
+	r.numMergedReports = len(r.reported)
+	reserves := n.unreportedReserves(s)
+	waited := len(reserves) == 0 || n.Now().Sub(r.since) >= maxGatherTime
+	if waited && n.allReported(s.Reported) {
 		s.Settle(reserves)
-		done.Settled, done.Missing = true, len(reserves)
+		result.Settled, result.Missing = true, len(reserves)
 	}
-	return done
+	return result
 }
 
-// pending reports that this instance has something to write: what it has seen itself, or what
-// others have told it.
-func (r *recovery) pending() bool { return r.asked != 0 || r.unsettled }
+// needsWrite reports whether this instance has something to write: what it has seen itself or what
+// others have reported to it.
+func (r *recovery) needsWrite() bool { return r.reportEra != 0 || r.unsettled }
 
-// eras returns the era of the object if it waits for what all have seen, else that in which it can
-// be drawn from; 0 for the other one.
+// eras returns the object's era as unsettled if the object waits for reports, else as settled if it
+// can be drawn from; 0 for the other one.
 func (r *recovery) eras() (unsettled, settled uint64) {
 	switch {
 	case r.unsettled:
 		return r.era, 0
-	case r.last != nil:
-		return 0, r.last.Era
+	case r.lastSeen != nil:
+		return 0, r.lastSeen.Era
 	}
 	return 0, 0
 }
 
-// see notes that a shard is unsettled; what was told for another era does not count.
-func (r *recovery) see(s *Shard, now time.Time) {
+// noteUnsettled records that a shard is unsettled. Reports for another era are discarded.
+func (r *recovery) noteUnsettled(s *Shard, now time.Time) {
 	if r.unsettled && r.era == s.Era {
 		return
 	}
 	r.unsettled, r.era, r.since = true, s.Era, now
-	r.told, r.mergedTold = nil, 0
+	r.reported, r.numMergedReports = nil, 0
 }
 
-// allTold reports that every other live instance is among those that told; n.mu is held.
-func (n *Node) allTold(told map[string]bool) bool {
+// allReported reports whether every other live instance is in reported; n.mu is held.
+func (n *Node) allReported(reported map[string]bool) bool {
 	for _, other := range n.Fleet.Others() {
-		if !told[other] {
+		if !reported[other] {
 			return false
 		}
 	}
 	return true
 }
 
-// reserves are what instances that have not told may have drawn without being seen, by name and
-// budget; n.mu is held.
-func (n *Node) reserves(s *Shard) map[string]map[string]int64 {
+// unreportedReserves returns what instances that have not reported may have drawn unseen, by name
+// and budget; n.mu is held.
+func (n *Node) unreportedReserves(s *Shard) map[string]map[string]int64 {
 	reserves := map[string]map[string]int64{}
 	for name, holder := range s.Holders {
 		live, _ := n.Fleet.Live(name)
-		if name == n.Name || s.Told[live] {
+		if name == n.Name || s.Reported[live] {
 			continue
 		}
 		reserve := map[string]int64{}
 		for id, perSecond := range holder.PerSecond {
-			if n.Fleet.Counts(name) { // one that has been gone for long drew nothing lately
-				reserve[id] = int64(float64(perSecond) * unheardDraws.Seconds())
+			if n.Fleet.Counts(name) { // one that has been gone for long has not drawn lately
+				reserve[id] = int64(float64(perSecond) * unreportedDrawTime.Seconds())
 			}
 		}
 		reserves[name] = reserve
@@ -217,132 +218,134 @@
 	Row
 }
 
-// storedRows is what this instance has seen of others' rows in the store before an era; n.mu is held.
+// storedRows returns the rows of other writers that this instance has seen in the store before an
+// era; n.mu is held.
 func (n *Node) storedRows(shard int, era uint64) []seenRow {
 	var rows []seenRow
-	if last := n.shards[shard].recovery.last; last != nil && last.Era < era {
+	if last := n.shards[shard].recovery.lastSeen; last != nil && last.Era < era {
 		for writer, row := range last.Writers {
 			if writer != n.Self {
-				rows = append(rows, seenRow{writer, Row{Counters: row.Counters, Own: true}}) // the store itself said so
+				rows = append(rows, seenRow{writer, Row{Counters: row.Counters, Own: true}}) // read from the store
 			}
 		}
 	}
 	return rows
 }
 
-// adoptRecovery notes how a write left a shard; n.mu is held.
-func (n *Node) adoptRecovery(shard int, after *Shard) {
+// applyRecovery updates the recovery state from a written shard; n.mu is held.
+func (n *Node) applyRecovery(shard int, after *Shard) {
 	r := &n.shards[shard].recovery
-	r.last = after
-	r.at = n.Now()
-	for writer, told := range r.evidence {
-		if told.serial <= r.mergedTo { // what was told during the write waits for the next
-			delete(r.evidence, writer)
+	r.lastSeen = after
+	r.writtenAt = n.Now()
+	for writer, reported := range r.reportedRows {
+		if reported.serial <= r.mergedSerial { // later ones wait for the next write
+			delete(r.reportedRows, writer)
 		}
 	}
 	if after.Unsettled {
-		r.see(after, r.at)
+		r.noteUnsettled(after, r.writtenAt)
 		return
 	}
-	if after.Era >= r.asked {
-		r.asked = 0
+	if after.Era >= r.reportEra {
+		r.reportEra = 0
 	}
 	if r.unsettled {
-		r.unsettled, r.told = false, nil
+		r.unsettled, r.reported = false, nil
 	}
 }
 
-// justUnsettled reports that the shard was unsettled a moment ago; n.mu is held.
-func (n *Node) justUnsettled(shard int) bool {
+// recentlyUnsettled reports whether the shard was unsettled a moment ago; n.mu is held.
+func (n *Node) recentlyUnsettled(shard int) bool {
 	r := &n.shards[shard].recovery
-	return r.unsettled && n.Now().Sub(r.at) < unsettledPause
+	return r.unsettled && n.Now().Sub(r.writtenAt) < minUnsettledWriteInterval
 }
 
-// hearTold takes in what an asker tells of a shard before an era, and writes once all have told.
-// It returns the era that it took in, 0 for none: what is told of an era that this instance has not
-// seen itself is passed over, and the asker tells again; n.mu is held.
-func (n *Node) hearTold(shard int, req *prepaidpb.RefillRequest) uint64 {
+// receiveSeenRows merges what a requester reports of a shard before an era, and starts a write once
+// all have reported. It returns the accepted era or 0: a report for an era that this instance has
+// not seen itself is ignored, and the requester repeats it; n.mu is held.
+func (n *Node) receiveSeenRows(shard int, req *prepaidpb.RefillRequest) uint64 {
 	r := &n.shards[shard].recovery
 	if req.ToldEra == 0 || !r.unsettled || req.ToldEra != r.era {
 		return 0
 	}
-	if r.told == nil {
-		r.told = map[string]bool{}
+	if r.reported == nil {
+		r.reported = map[string]bool{}
 	}
-	r.told[req.Asker] = true
+	r.reported[req.Asker] = true
 	for _, row := range req.Rows {
-		r.takeEvidence(row, row.Writer == req.Asker)
+		r.mergeReportedRow(row, row.Writer == req.Asker)
 	}
-	n.settleNow(shard)
+	n.settleIfAllReported(shard)
 	return req.ToldEra
 }
 
-// settleNow writes a shard that waits for nobody any more, unless a write is on its way: that one's
-// end calls this again, for those that told meanwhile; n.mu is held.
-func (n *Node) settleNow(shard int) {
+// settleIfAllReported writes a shard for which no report is missing, unless a write is in progress.
+// The end of that write calls it again, for reports that arrived meanwhile; n.mu is held.
+func (n *Node) settleIfAllReported(shard int) {
 	r := &n.shards[shard].recovery
-	if !r.unsettled || n.shards[shard].flight != nil || len(r.told) <= r.mergedTold {
+	if !r.unsettled || n.shards[shard].pendingWrite != nil || len(r.reported) <= r.numMergedReports {
 		return
 	}
-	told := maps.Clone(r.told)
-	if r.last != nil && r.last.Era == r.era {
-		maps.Copy(told, r.last.Told)
+	reported := maps.Clone(r.reported)
+	if r.lastSeen != nil && r.lastSeen.Era == r.era {
+		maps.Copy(reported, r.lastSeen.Reported)
 	}
-	if n.allTold(told) {
-		n.begin(shard, "", 0)
+	if n.allReported(reported) {
+		n.startWrite(shard, "", 0)
 	}
 }
 
-// takeEvidence keeps the highest that was told of a row until a write has brought it in.
-func (r *recovery) takeEvidence(told *prepaidpb.SeenRow, own bool) {
-	if r.evidence == nil {
-		r.evidence = map[string]evidence{}
+// mergeReportedRow keeps the highest reported counters of a row until a write has included them.
+func (r *recovery) mergeReportedRow(reported *prepaidpb.SeenRow, own bool) {
+	if r.reportedRows == nil {
+		r.reportedRows = map[string]reportedRow{}
 	}
 	r.serial++
-	kept := r.evidence[told.Writer]
-	if kept.Counters == nil {
-		kept.Counters = map[string]Counter{}
+	merged := r.reportedRows[reported.Writer]
+	if merged.Counters == nil {
+		merged.Counters = map[string]Counter{}
 	}
-	for _, c := range told.Counters {
-		counter := kept.Counters[c.Budget]
+	for _, c := range reported.Counters {
+		counter := merged.Counters[c.Budget]
 		counter.Drawn = max(counter.Drawn, c.Drawn)
 		if own {
 			counter.Returned = max(counter.Returned, c.Returned)
 		}
-		kept.Counters[c.Budget] = counter
+		merged.Counters[c.Budget] = counter
 	}
-	kept.Own, kept.serial = kept.Own || own, r.serial
-	r.evidence[told.Writer] = kept
+	merged.Own, merged.serial = merged.Own || own, r.serial
+	r.reportedRows[reported.Writer] = merged
 }
 
-// telling puts what this instance has seen into a report if the drawer waits for it; n.mu is held.
-// From then on no answer of an older era is taken over, so nothing is drawn behind what is told. That
-// needs no word of the store: an instance that does not reach it would keep all others from drawing.
-func (n *Node) telling(shard int, name string, req *prepaidpb.RefillRequest) {
+// addSeenRows adds what this instance has seen to a report if the drawer waits for it; n.mu is
+// held. From then on results of older eras are rejected, so no draw is applied that the report
+// lacks. This does not wait for the store: an instance that cannot reach it would keep all others
+// from drawing.
+func (n *Node) addSeenRows(shard int, name string, req *prepaidpb.RefillRequest) {
 	r := &n.shards[shard].recovery
-	if r.asked == 0 || (r.toldEra == r.asked && r.toldTo == name) {
+	if r.reportEra == 0 || (r.ackedEra == r.reportEra && r.ackedBy == name) {
 		return
 	}
-	if n.era < r.asked {
+	if n.era < r.reportEra {
 		n.verifyEra()
 	}
-	n.floor, n.toldMost = max(n.floor, r.asked), max(n.toldMost, r.asked)
-	req.ToldEra = r.asked
+	n.minEra, n.maxReportedEra = max(n.minEra, r.reportEra), max(n.maxReportedEra, r.reportEra)
+	req.ToldEra = r.reportEra
 	if own := n.ownRow(shard); len(own) > 0 {
-		req.Rows = append(req.Rows, tellRow(n.Self, own))
+		req.Rows = append(req.Rows, newSeenRow(n.Self, own))
 	}
-	stored := n.storedRows(shard, r.asked)
-	if last := r.last; last != nil {
+	stored := n.storedRows(shard, r.reportEra)
+	if last := r.lastSeen; last != nil {
 		slices.SortFunc(stored, func(a, b seenRow) int {
 			return cmp.Compare(last.Writers[b.writer].Turn, last.Writers[a.writer].Turn)
 		})
 	}
-	for _, row := range append(n.witnessedRows(shard), stored[:min(len(stored), mostRowsTold)]...) {
-		req.Rows = append(req.Rows, tellRow(row.writer, row.Counters))
+	for _, row := range append(n.witnessedRows(shard), stored[:min(len(stored), maxStoredRowsReported)]...) {
+		req.Rows = append(req.Rows, newSeenRow(row.writer, row.Counters))
 	}
 }
 
-func tellRow(writer string, counters map[string]Counter) *prepaidpb.SeenRow {
+func newSeenRow(writer string, counters map[string]Counter) *prepaidpb.SeenRow {
 	row := &prepaidpb.SeenRow{Writer: writer}
 	for id, c := range counters {
 		row.Counters = append(row.Counters, &prepaidpb.SeenCounter{Budget: id, Drawn: c.Drawn, Returned: c.Returned})
@@ -350,9 +353,9 @@
 	return row
 }
 
-// settleTelling notes what a drawer answered: whether it took in what was told, and whether it
-// waits for more. It reports whether to tell it at once; n.mu is held.
-func (n *Node) settleTelling(
+// processReportReply processes a drawer's reply: whether it accepted the reported rows and whether
+// it waits for a later era. It reports whether to send another report at once; n.mu is held.
+func (n *Node) processReportReply(
 	shard int, name string, req *prepaidpb.RefillRequest, reply *prepaidpb.RefillReply, err error,
 ) (waits bool) {
 	r := &n.shards[shard].recovery
@@ -362,42 +365,44 @@
 	switch {
 	case req.ToldEra == 0:
 	case reply.TakenEra == req.ToldEra:
-		r.toldEra, r.toldTo = req.ToldEra, name
-		n.takenEra = max(n.takenEra, req.ToldEra)
-	case n.toldMost == req.ToldEra:
-		n.toldMost = n.takenEra // passed over: nobody counts on it
+		r.ackedEra, r.ackedBy = req.ToldEra, name
+		n.confirmedEra = max(n.confirmedEra, req.ToldEra)
+	case n.maxReportedEra == req.ToldEra:
+		n.maxReportedEra = n.confirmedEra // ignored by the drawer: nothing relies on that report
 	}
-	if reply.SettledEra >= r.asked && reply.SettledEra >= r.era {
-		r.asked, r.unsettled = 0, false
+	if reply.SettledEra >= r.reportEra && reply.SettledEra >= r.era {
+		r.reportEra, r.unsettled = 0, false
 	}
-	if reply.UnsettledEra > r.asked {
-		r.asked = reply.UnsettledEra
+	if reply.UnsettledEra > r.reportEra {
+		r.reportEra = reply.UnsettledEra
 		return true
 	}
 	return false
 }
 
-// firstEra is that of a store which has never gone back.
+// firstEra is the era of a store that was never rolled back.
 const firstEra = 1
 
-// HeardEra says that another instance told of an era: each shard's drawer is told what this one has
-// seen, and passes it over unless the store told it the same. The store is asked too.
+// NotePeerEra records that another instance has reported an era. This instance reports what it has
+// seen to each shard's drawer, which ignores it unless the store has shown it the same era, and
+// asks the store as well.
 func (n *Node) HeardEra(era uint64) {
 	n.mu.Lock()
-	if era <= n.era || era <= n.heardEra {
+	if era <= n.era || era <= n.peerEra {
 		n.mu.Unlock()
 		return
 	}
-	n.heardEra = era
-	n.askAll(era)
+	n.peerEra = era
+	n.scheduleReports(era)
 	n.mu.Unlock()
 	for shard := range n.shards {
-		go n.tell(shard)
+		go n.reportSeen(shard)
 	}
 }
 
-// verifyEra has the store asked for its era, once at a time. What neither it nor a drawer confirms
-// is forgotten: an era that the store never had would keep this instance from drawing; n.mu is held.
+// verifyEra asks the store for its era, one call at a time. An era that neither the store nor a
+// drawer confirms is dropped: if the store never had it, it would keep this instance from drawing;
+// n.mu is held.
 func (n *Node) verifyEra() {
 	if n.verifying {
 		return
@@ -409,24 +414,24 @@
 		defer n.mu.Unlock()
 		n.verifying = false
 		if err != nil {
-			return // the next report asks again
+			return // the next report calls verifyEra again
 		}
-		confirmed := max(era, n.era, n.takenEra)
-		n.floor = min(n.floor, max(confirmed, n.toldMost))
+		confirmed := max(era, n.era, n.confirmedEra)
+		n.minEra = min(n.minEra, max(confirmed, n.maxReportedEra))
 		for shard := range n.shards {
-			if r := &n.shards[shard].recovery; r.asked > confirmed {
-				r.asked = 0
+			if r := &n.shards[shard].recovery; r.reportEra > confirmed {
+				r.reportEra = 0
 			}
 		}
 	}()
 }
 
-// Recovered is what one write brought back into a shard after the store went back.
+// Recovered is what one write restored in a shard after a store rollback.
 type Recovered struct {
 	Shard int
 	Era   uint64
-	// Tokens are draws that were missing. Settled says that the shard can be drawn from again,
-	// Missing how many instances had not told, for whom tokens are reserved.
+	// Tokens is the sum of restored draws. Settled says that the shard can be drawn from again,
+	// Missing how many instances had not reported and have tokens reserved.
 	Tokens  int64
 	Settled bool
 	Missing int
--- a/pkg/prepaid/recovery_test.go
+++ b/pkg/prepaid/recovery_test.go
@@ -14,23 +14,23 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid"
 )
 
-// backHistory is a history in which the store comes back from copies of itself.
-type backHistory struct {
+// rollbackHistory is a history in which the store is rolled back at random.
+type rollbackHistory struct {
 	*history
-	// lost are the draws of the seconds that the store lost.
+	// lost are the draws that the store lost and that are missing in the ledger.
 	lost []lostDraw
 }
 
-// lostDraw is what one writer drew of a budget in seconds that the store lost.
+// lostDraw is what one writer drew of a budget in the time that the store lost.
 type lostDraw struct {
 	writer, budget string
-	// tokens are what the store lost, drawn is all that the writer had drawn.
+	// tokens is what the store lost, drawn the writer's total at that time.
 	tokens, drawn int64
-	// heard are the writer and its witnesses that were neither dead nor cut off since.
-	heard map[string]bool
+	// reachable are the writer and its witnesses that were neither dead nor partitioned since.
+	reachable map[string]bool
 }
 
-func newBackHistory(seed uint64, instances int) *backHistory {
+func newRollbackHistory(seed uint64, instances int) *rollbackHistory {
 	h := newHistory(seed)
 	for len(h.fleet.nodes) < instances {
 		h.fleet.join()
@@ -38,30 +38,30 @@
 	h.fleet.drawers = []string{"i1", "i2"}
 	h.allLive = seed%3 != 0
 	h.fleet.deathsKnown = true
-	h.fleet.hold = 0.1
-	return &backHistory{history: h}
+	h.fleet.ackDelayChance = 0.1
+	return &rollbackHistory{history: h}
 }
 
-// rows returns what each writer has drawn, by the present era's object.
+// rows returns each writer's counters in the current era's object.
 func (f *fleet) rows() map[string]prepaid.Writer {
-	_, _, s, err := f.object()
+	_, _, s, err := f.currentObject()
 	if err != nil {
 		panic(err)
 	}
 	return s.Writers
 }
 
-// goBack has the store go back behind some writes and notes what that loses.
-func (h *backHistory) goBack() {
+// rollBack rolls the store back by some writes and records the draws that this loses.
+func (h *rollbackHistory) rollBack() {
 	before := h.fleet.rows()
-	h.fleet.goBack(1 + h.fleet.rng.IntN(12))
+	h.fleet.rollBack(1 + h.fleet.rng.IntN(12))
 	after := h.fleet.rows()
 	for writer, row := range before {
 		for id, counter := range row.Counters {
 			if tokens := counter.Drawn - after[writer].Counters[id].Drawn; tokens > 0 {
-				draw := lostDraw{writer: writer, budget: id, tokens: tokens, drawn: counter.Drawn, heard: map[string]bool{writer: true}}
+				draw := lostDraw{writer: writer, budget: id, tokens: tokens, drawn: counter.Drawn, reachable: map[string]bool{writer: true}}
 				for _, witness := range h.fleet.witnessesOf(writer, id, counter.Drawn) {
-					draw.heard[witness] = true
+					draw.reachable[witness] = true
 				}
 				h.lost = append(h.lost, draw)
 			}
@@ -69,76 +69,76 @@
 	}
 }
 
-// step is one of the random history, or the store goes back; some who live hear of it from another.
-func (h *backHistory) step() {
+// step is one step of the random history, a rollback, or an era reported by another instance.
+func (h *rollbackHistory) step() {
 	switch n := h.fleet.rng.IntN(100); {
 	case n < 3:
-		h.goBack()
+		h.rollBack()
 	case n < 6:
 		m := h.member()
-		h.fleet.change(func() { m.noStore = !m.noStore })
+		h.fleet.update(func() { m.storeCut = !m.storeCut })
 	case n < 11:
 		h.member().HeardEra(h.fleet.storeEra() + uint64(h.fleet.rng.IntN(2)))
 	default:
 		h.history.step()
 	}
 	synctest.Wait()
-	h.lookAtLost()
+	h.updateLost()
 }
 
-// lookAtLost notes who of those that saw lost draws is not heard, and drops the draws that are in the
-// ledger again in time.
-func (h *backHistory) lookAtLost() {
+// updateLost removes dead and partitioned instances from those that can report lost draws, and
+// drops the draws that were restored in the ledger in time.
+func (h *rollbackHistory) updateLost() {
 	for _, m := range h.fleet.nodes {
-		if !m.dead && !m.cut {
+		if !m.dead && !m.partitioned {
 			continue
 		}
 		for _, draw := range h.lost {
-			delete(draw.heard, m.name)
+			delete(draw.reachable, m.name)
 		}
 	}
 	rows := h.fleet.rows()
 	h.lost = slices.DeleteFunc(h.lost, func(draw lostDraw) bool {
-		return len(draw.heard) > 0 && rows[draw.writer].Counters[draw.budget].Drawn >= draw.drawn
+		return len(draw.reachable) > 0 && rows[draw.writer].Counters[draw.budget].Drawn >= draw.drawn
 	})
 }
 
-// excess is what may be overspent of a budget: draws that the store lost and of whose writer and
-// witnesses each was dead or cut off, so that perhaps nobody who was heard had seen them.
-func (h *backHistory) excess(id string) int64 {
+// allowedExcess returns how much of a budget may be overspent: draws that the store lost and whose
+// writer and witnesses were all dead or partitioned at some time, so that perhaps no instance
+// reported them.
+func (h *rollbackHistory) allowedExcess(id string) int64 {
 	var sum int64
 	for _, draw := range h.lost {
-		if draw.budget == id && len(draw.heard) == 0 {
+		if draw.budget == id && len(draw.reachable) == 0 {
 			sum += draw.tokens
 		}
 	}
 	return sum
 }
 
-// play returns what was overspent beyond what may be, and whether something may be.
-func (h *backHistory) play(steps int) (failure string, apart bool) {
-	defer time.Sleep(10 * time.Second) // what was begun ends
+// run returns a description of disallowed overspending, and whether some is allowed at the end.
+func (h *rollbackHistory) run(steps int) (failure string, anyUnwitnessed bool) {
+	defer time.Sleep(10 * time.Second) // lets calls in progress end
 	for range steps {
 		h.step()
 		for id, sum := range h.sums() {
-			if over := sum - h.allowed[id]; over > h.excess(id) {
-				return fmt.Sprintf("%s: %d of %d, excess %d", id, sum, h.allowed[id], h.excess(id)), false
+			if over := sum - h.allowed[id]; over > h.allowedExcess(id) {
+				return fmt.Sprintf("%s: %d of %d, excess %d", id, sum, h.allowed[id], h.allowedExcess(id)), false
 			}
 		}
 	}
-	return "", h.excess(budgetName(0))+h.excess(budgetName(1)) > 0
+	return "", h.allowedExcess(budgetName(0))+h.allowedExcess(budgetName(1)) > 0
 }
 
-// An account spends more than it prepaid after the store came back from a copy: draws of its last
-// seconds are missing there, and others draw their tokens again. Proof: whatever falls together
-// with it, nothing is overspent while one of those is heard that made or witnessed each of these draws;
-// where all of them are dead or cut off, at most what was drawn in the lost seconds is, and these
-// histories are counted.
+// Guards against overspending after a store rollback: draws of the lost seconds are missing, and
+// other instances draw their tokens again. Whatever other faults coincide, nothing is overspent
+// while the writer or a witness of each lost draw can report it. Where all of them were dead or
+// partitioned, at most the draws of the lost seconds are overspent; such histories are counted.
 func TestNeverMoreThanPrepaidWhenTheStoreGoesBack(t *testing.T) {
 	sizes := []struct{ instances, histories, steps int }{{4, 300, 250}, {7, 300, 300}, {63, 30, 400}, {295, 4, 500}}
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.instances), func(t *testing.T) {
-			apart := 0
+			numUnwitnessed := 0
 			parameters := gopter.DefaultTestParametersWithSeed(13)
 			parameters.MinSuccessfulTests = size.histories
 			properties := gopter.NewProperties(parameters)
@@ -146,22 +146,22 @@
 				failure := ""
 				synctest.Test(t, func(*testing.T) {
 					var counted bool
-					failure, counted = newBackHistory(seed, size.instances).play(size.steps)
+					failure, counted = newRollbackHistory(seed, size.instances).run(size.steps)
 					if counted {
-						apart++
+						numUnwitnessed++
 					}
 				})
 				return failure
 			}, gen.UInt64()))
 			properties.TestingRun(t)
-			t.Logf("%d of %d histories had lost draws whose writer and witnesses were all dead or cut off", apart, size.histories)
+			t.Logf("%d of %d histories had lost draws whose writer and witnesses were all dead or partitioned", numUnwitnessed, size.histories)
 		})
 	}
 }
 
-// All instances live and the store goes back behind a draw: within a round of reports every one of
-// them has told, the draw is in the ledger again, and tokens can be drawn. Callers are refused
-// meanwhile as for a busy ledger and never told that the account is exhausted.
+// All instances are alive and the store is rolled back to before a draw. Within one round of
+// reports every instance has reported, the draw is in the ledger again, and tokens can be drawn.
+// Until then callers are refused as for a busy ledger, never as exhausted.
 func TestLedgerIsSettledSoonAfterTheStoreWentBack(t *testing.T) {
 	for _, instances := range []int{2, 9, 63, 295} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -180,45 +180,45 @@
 					}
 				}
 				for n, m := range f.nodes {
-					if n%3 != 2 { // the others have no callers, and are waited for as well
+					if n%3 != 2 { // the others have no callers but must report, too
 						spend(t, m, 100)
 					}
 				}
 				everyTick(4)
 				granted := f.granted()
-				f.goBack(1000)
-				f.nodes[0].sawEra()
+				f.rollBack(1000)
+				f.nodes[0].noteStoreEra()
 				for n, m := range f.nodes[1:] {
 					if n%2 == 0 {
-						m.sawEra()
+						m.noteStoreEra()
 					} else {
 						m.HeardEra(f.storeEra())
 					}
 				}
 				everyTick(2)
 				if got := f.granted(); got < granted {
-					t.Errorf("%d tokens granted of %d, a second after the store went back", got, granted)
+					t.Errorf("%d tokens granted of %d, a second after the store rollback", got, granted)
 				}
-				_, _, s, err := f.object()
+				_, _, s, err := f.currentObject()
 				if err != nil || s.Unsettled {
-					t.Errorf("unsettled %v, %v: told %d of %d", s.Unsettled, err, len(s.Told), instances)
+					t.Errorf("unsettled %v, %v: %d of %d have reported", s.Unsettled, err, len(s.Reported), instances)
 				}
 			})
 		})
 	}
 }
 
-// granted returns what the present era's object has granted of the test's account.
+// granted returns the test account's granted tokens in the current era's object.
 func (f *fleet) granted() int64 {
-	_, _, s, err := f.object()
+	_, _, s, err := f.currentObject()
 	if err != nil {
 		panic(err)
 	}
 	return s.Budgets[account].Granted
 }
 
-// A caller is served by tokens that were drawn before all have told what the store lost. Proof: an
-// unsettled shard takes back what its writer had drawn, and gives it nothing.
+// Guards against requests that are served from draws made before all instances have reported what
+// the store lost: an unsettled shard restores its writer's draws and grants nothing new.
 func TestUnsettledShardGivesNothing(t *testing.T) {
 	s, err := prepaid.DecodeShard(nil)
 	if err != nil {
@@ -226,43 +226,43 @@
 	}
 	s.SetPrepaid(prepaid.Amounts{Version: 1, Tokens: map[string]int64{account: 1000}})
 	s.Begin(2)
-	s.Apply("w", prepaid.Start{Era: 1}, map[string]prepaid.Wish{account: {Known: prepaid.Counter{Drawn: 300}, Need: 500, More: 10, Ahead: 10, AheadPart: 1}})
+	s.Apply("w", prepaid.Start{Era: 1}, map[string]prepaid.Transfer{account: {Known: prepaid.Counter{Drawn: 300}, Need: 500, More: 10, Ahead: 10, AheadDivisor: 1}})
 	if got := s.Budgets[account].Granted; got != 300 || s.Writers["w"].Counters[account].Drawn != 300 {
-		t.Errorf("granted %d: an unsettled shard brings back 300 and draws nothing", got)
+		t.Errorf("granted %d: an unsettled shard restores 300 and draws nothing", got)
 	}
 }
 
-// An account spends more than it prepaid: the acknowledgement of a draw is held up, the store comes
-// back from a copy without that draw, the instance tells the drawer what it has drawn, and then the
-// acknowledgement comes and its tokens are spent as well as drawn again by others. Proof: once an
-// instance has told, no answer of the older era is taken over, also if the store does not reach it.
+// Guards against overspending when the acknowledgement of a draw is delayed, the store is rolled
+// back to before that draw, and the instance reports its draws to the drawer before the
+// acknowledgement arrives. The tokens would then be spent and drawn again by others. Once an
+// instance has reported, it rejects results of the older era, even if it cannot reach the store.
 func TestDrawOfAnEraThatIsOverIsNotTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 2, map[string]int64{account: 1000})
 		m := f.nodes[1]
-		f.hold = 1
+		f.ackDelayChance = 1
 		go func() {
-			_, _ = m.Reserve(t.Context(), account, 300, true) // it gives up before the answer comes
+			_, _ = m.Reserve(t.Context(), account, 300, true) // gives up before the answer arrives
 		}()
-		time.Sleep(heldFor / 2)
+		time.Sleep(ackDelay / 2)
 		if f.granted() == 0 {
 			t.Fatal("nothing was drawn")
 		}
-		f.goBack(1000)
-		f.change(func() { m.noStore, f.drawers = true, []string{"i0"} })
+		f.rollBack(1000)
+		f.update(func() { m.storeCut, f.drawers = true, []string{"i0"} })
 		m.HeardEra(f.storeEra())
-		time.Sleep(2 * heldFor)
+		time.Sleep(2 * ackDelay)
 		if free := m.Free(account); free != 0 {
-			t.Errorf("%d tokens of a draw are at hand that nobody was told of", free)
+			t.Errorf("%d tokens are free from a draw that was not reported", free)
 		}
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// An account spends more than it prepaid: the instance that had drawn for all died with the store's
-// going back behind its draws, and only those that it had dealt tokens to know of them. Proof: what
-// a drawer deals out tells how much it has drawn, and that is in the ledger again before anybody
-// draws.
+// Guards against overspending when the drawer dies as the store is rolled back to before its draws,
+// and only the instances that it dealt tokens to know of them. A drawer sends its drawn total with
+// the tokens that it deals out; the requesters report it, and the draws are in the ledger again
+// before any instance draws.
 func TestDrawsOfTheDeadAreBroughtBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 9
@@ -285,9 +285,9 @@
 			everyTick()
 		}
 		before, granted := f.rows(), f.granted()
-		f.goBack(1000)
+		f.rollBack(1000)
 		f.nodes[0].dead = true
-		f.nodes[1].sawEra()
+		f.nodes[1].noteStoreEra()
 		for _, m := range f.nodes[2:] {
 			m.HeardEra(f.storeEra())
 		}
@@ -297,18 +297,18 @@
 		after := f.rows()
 		for writer, row := range before {
 			if got, drawn := after[writer].Counters[account].Drawn, row.Counters[account].Drawn; got < drawn {
-				t.Errorf("%s: %d tokens drawn of %d that were before the drawer died", writer, got, drawn)
+				t.Errorf("%s: %d tokens drawn, %d before the drawer died", writer, got, drawn)
 			}
 		}
-		// What the living have given back since is free by right.
+		// Tokens that live instances have returned since are rightly free.
 		returned := returnedIn(after) - returnedIn(before)
 		if got := f.granted() + returned; got < granted {
-			t.Errorf("%d tokens granted of %d that were drawn before the drawer died, %d returned", got, granted, returned)
+			t.Errorf("%d tokens granted, %d before the drawer died, %d returned since", got, granted, returned)
 		}
 	})
 }
 
-// returnedIn sums what all writers have given back of the test's account.
+// returnedIn sums what all writers have returned of the test account.
 func returnedIn(rows map[string]prepaid.Writer) (sum int64) {
 	for _, row := range rows {
 		sum += row.Counters[account].Returned
@@ -316,9 +316,9 @@
 	return sum
 }
 
-// An account spends more than it prepaid: the store goes back twice in a row, and an instance that
-// had told what it had drawn before the first time, and drew between the two, is not waited for
-// after the second. Proof: what was told for an earlier era does not count for a later one.
+// Guards against overspending when the store is rolled back twice in a row: an instance that
+// reported after the first rollback and has drawn since would not be waited for after the second. A
+// report for an earlier era must not count for a later one.
 func TestWhoToldForAnEarlierEraTellsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 3, map[string]int64{account: 10_000})
@@ -332,27 +332,27 @@
 			synctest.Wait()
 		}
 		tick(f.nodes[1])
-		f.goBack(1)
-		f.nodes[2].cut = true // it lives, and nothing is settled without it
-		f.nodes[0].sawEra()
+		f.rollBack(1)
+		f.nodes[2].partitioned = true // alive, so nothing is settled without its report
+		f.nodes[0].noteStoreEra()
 		synctest.Wait()
 		f.nodes[1].HeardEra(f.storeEra())
 		synctest.Wait()
 		tick(f.nodes[0])
-		if _, _, s, _ := f.object(); !s.Told["i1"] || !s.Unsettled {
-			t.Fatalf("told %v, unsettled %v", s.Told, s.Unsettled)
+		if _, _, s, _ := f.currentObject(); !s.Reported["i1"] || !s.Unsettled {
+			t.Fatalf("reported %v, unsettled %v", s.Reported, s.Unsettled)
 		}
-		f.goBack(1)
+		f.rollBack(1)
 		tick(f.nodes[0])
-		if _, _, s, _ := f.object(); s.Told["i1"] || !s.Told["i0"] {
-			t.Errorf("in the next era told %v", s.Told)
+		if _, _, s, _ := f.currentObject(); s.Reported["i1"] || !s.Reported["i0"] {
+			t.Errorf("reported in the next era: %v", s.Reported)
 		}
 	})
 }
 
-// An account spends more than it prepaid: an instance tells the drawer what it had drawn while a
-// write of the drawer's is on its way, which no more carries it, and counts as having told. Proof:
-// what was told meanwhile is in the next write.
+// Guards against overspending when an instance reports its draws while the drawer's write is in
+// progress: that write does not include them, but the instance counts as having reported. The next
+// write must include them.
 func TestWhatIsToldDuringAWriteIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 2, map[string]int64{account: 10_000})
@@ -361,56 +361,56 @@
 		}
 		drawn := f.rows()["i1"].Counters[account].Drawn
 		f.drawers = []string{"i0"}
-		f.goBack(1000)
-		f.hold = 1
-		f.nodes[0].sawEra()
-		time.Sleep(heldFor / 2)
+		f.rollBack(1000)
+		f.ackDelayChance = 1
+		f.nodes[0].noteStoreEra()
+		time.Sleep(ackDelay / 2)
 		f.nodes[1].HeardEra(f.storeEra())
-		time.Sleep(2 * heldFor)
-		f.change(func() { f.hold = 0 })
+		time.Sleep(2 * ackDelay)
+		f.update(func() { f.ackDelayChance = 0 })
 		for range 3 {
 			f.advance(500 * time.Millisecond)
 			for _, m := range f.nodes {
 				m.Tick(t.Context())
 			}
-			time.Sleep(heldFor)
+			time.Sleep(ackDelay)
 		}
 		if got := f.rows()["i1"].Counters[account].Drawn; got != drawn {
-			t.Errorf("the ledger has %d tokens drawn by the one that told, of %d", got, drawn)
+			t.Errorf("the ledger has %d of %d tokens drawn by the instance that reported", got, drawn)
 		}
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// Guards against a drawer that writes to the ledger without a pause, again and again, because what
-// it reads is of an era that it takes for over: another instance told of a later one that the store
+// Guards against a drawer that writes to the ledger again and again without a pause because it
+// considers the era of the object over: another instance has reported a later era that the store
 // never had.
 func TestLedgerOfAnEraTakenForOverIsNotWrittenWithoutAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 3, map[string]int64{account: 1_000_000})
-		f.change(func() { f.drawers, f.deathsKnown, f.hold = []string{"i0"}, true, 1 })
+		f.update(func() { f.drawers, f.deathsKnown, f.ackDelayChance = []string{"i0"}, true, 1 })
 		for _, m := range f.nodes {
 			spend(t, m, 100)
 		}
-		rest := func() {
+		waitSecond := func() {
 			f.advance(time.Second)
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}
-		f.goBack(1000)
-		f.nodes[0].sawEra() // its object waits for the others
-		rest()
-		f.change(func() { f.drawers = []string{"i1"} })
-		f.nodes[1].sawEra()
-		rest()
-		f.change(func() { f.loseAnswers = true })
-		f.nodes[2].sawEra() // it tells the second, which settles the object
-		rest()
+		f.rollBack(1000)
+		f.nodes[0].noteStoreEra() // its object waits for the others' reports
+		waitSecond()
+		f.update(func() { f.drawers = []string{"i1"} })
+		f.nodes[1].noteStoreEra()
+		waitSecond()
+		f.update(func() { f.loseAnswers = true })
+		f.nodes[2].noteStoreEra() // reports to i1, which settles the object
+		waitSecond()
 		f.nodes[0].HeardEra(f.storeEra() + 1)
-		rest()
-		f.change(func() { f.drawers, f.nodes[1].dead = []string{"i0"}, true })
-		f.change(func() { f.tries = 0 })
-		f.nodes[2].Tick(t.Context()) // it tells the first, whose word it lacks
+		waitSecond()
+		f.update(func() { f.drawers, f.nodes[1].dead = []string{"i0"}, true })
+		f.update(func() { f.tries = 0 })
+		f.nodes[2].Tick(t.Context()) // reports to i0, which lacks its report
 		time.Sleep(3 * time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
--- a/pkg/prepaid/safety_test.go
+++ b/pkg/prepaid/safety_test.go
@@ -28,13 +28,13 @@
 	reservation *prepaid.Reservation
 }
 
-// history plays random requests and faults and keeps what was spent.
+// history runs random requests and faults and records what was spent.
 type history struct {
 	fleet   *fleet
 	open    []openRequest
 	spent   map[string]int64
 	allowed map[string]int64
-	// allLive says that nobody dies or is cut off.
+	// allLive says that no instance dies or is partitioned.
 	allLive bool
 }
 
@@ -46,7 +46,7 @@
 	for id, amount := range tokens {
 		h.allowed[id] = amount
 	}
-	h.fleet.lose, h.fleet.loseLoan = 0.2, 0.1
+	h.fleet.loseAckChance, h.fleet.loseMessageChance = 0.2, 0.1
 	if seed%2 == 0 {
 		h.fleet.drawers = []string{"i1", "i2"}
 	}
@@ -64,17 +64,17 @@
 	case n < 84:
 		h.member().Tick(context.Background())
 	case n < 87:
-		h.fleet.change(func() { h.fleet.down = !h.fleet.down })
+		h.fleet.update(func() { h.fleet.storeDown = !h.fleet.storeDown })
 	case n < 93 && h.allLive:
 	case n < 91:
 		m := h.member()
-		h.fleet.change(func() { m.cut = !m.cut })
+		h.fleet.update(func() { m.partitioned = !m.partitioned })
 	case n < 93:
 		h.crash()
 	case n < 95:
 		h.topUp()
 	case n < 97:
-		h.fleet.land()
+		h.fleet.applyLateWrites()
 	default:
 		h.member().Recalled(budgetName(rng.IntN(2)))
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-// settle ends a request; its upstream counted anything up to its bound.
+// settle ends a request whose upstream has counted any number of tokens up to the reserved ones.
 func (h *history) settle() {
 	if len(h.open) == 0 {
 		return
@@ -111,8 +111,8 @@
 	}
 }
 
-// crash kills an instance, some in the middle of a planned stop; what it has running is
-// spent to the last token. Another takes its place.
+// crash kills an instance, some during a planned stop; its running requests spend all their tokens.
+// A new instance joins.
 func (h *history) crash() {
 	m := h.member()
 	if m.dead || len(h.fleet.nodes) > 12 {
@@ -123,14 +123,14 @@
 		m.Stop(ctx)
 		cancel()
 		synctest.Wait()
-		h.others(m)
+		h.tickOthers(m)
 	}
-	h.fleet.change(func() { m.dead = true })
+	h.fleet.update(func() { m.dead = true })
 	h.fleet.join()
 }
 
-// others has the other instances do their regular work while one stops.
-func (h *history) others(stopping *member) {
+// tickOthers runs ticks of the other instances while one stops.
+func (h *history) tickOthers(stopping *member) {
 	for range h.fleet.rng.IntN(6) {
 		h.fleet.advance(time.Duration(h.fleet.rng.IntN(600)) * time.Millisecond)
 		if m := h.member(); m != stopping && !m.dead {
@@ -149,12 +149,12 @@
 	}
 	tokens[id] += 500
 	h.allowed[id] += 500
-	h.fleet.change(func() {
+	h.fleet.update(func() {
 		h.fleet.amounts = prepaid.Amounts{Version: h.fleet.amounts.Version + 1, Tokens: tokens}
 	})
 }
 
-// overspent returns a budget that was spent beyond what was prepaid; empty if none was.
+// overspent describes a budget of which more was spent than prepaid; empty if there is none.
 func (h *history) overspent() string {
 	for id, sum := range h.sums() {
 		if sum > h.allowed[id] {
@@ -164,7 +164,7 @@
 	return ""
 }
 
-// sums returns what was spent and what runs, requests that run counted at their most.
+// sums returns, by budget, the tokens spent plus the reservations of running requests.
 func (h *history) sums() map[string]int64 {
 	sums := map[string]int64{}
 	for id, tokens := range h.spent {
@@ -176,7 +176,7 @@
 	return sums
 }
 
-func playHistory(seed uint64) (failure string) {
+func runHistory(seed uint64) (failure string) {
 	h := newHistory(seed)
 	for range historySteps {
 		h.step()
@@ -187,17 +187,17 @@
 	return ""
 }
 
-// Instances draw, lend and return tokens while the ledger loses answers and takes
-// writes late, is away, instances are cut off and die, and operators top up. No
-// caller ever gets more than was prepaid: what is spent left the ledger, durably,
-// before; and what a lost answer, a late write or a death does to it only loses.
+// Instances draw, lend and return tokens while the ledger loses answers, applies writes late and is
+// unavailable, instances are partitioned and die, and operators top up. Callers never get more than
+// was prepaid: what is spent has been deducted durably from the ledger before, and a lost answer, a
+// late write or a death can only lose tokens.
 func TestNeverMoreThanPrepaid(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 120
 	properties := gopter.NewProperties(parameters)
 	properties.Property("spent and running stay within prepaid", prop.ForAll(func(seed uint64) string {
 		failure := ""
-		synctest.Test(t, func(*testing.T) { failure = playHistory(seed) })
+		synctest.Test(t, func(*testing.T) { failure = runHistory(seed) })
 		return failure
 	}, gen.UInt64()))
 	properties.TestingRun(t)
--- a/pkg/prepaid/shard.go
+++ b/pkg/prepaid/shard.go
@@ -1,12 +1,11 @@
-// Package prepaid decides which tokens of prepaid budgets an instance may spend,
-// where every instance reaches a store that does conditional writes in
-// milliseconds.
+// Package prepaid decides which tokens of prepaid budgets an instance may spend, where every
+// instance reaches a store that performs conditional writes in milliseconds.
 //
-// An instance draws tokens from the ledger before it spends them, one
-// conditional write for all budgets that need some, and returns what it does not
-// need when a budget runs short. Only drawn tokens are spent, so no partition,
-// outage or pause can overspend; what an instance holds when it dies is lost to
-// the budget, which bounds how much it draws ahead.
+// An instance draws tokens from the ledger before it spends them, with one conditional write for
+// all budgets of a ledger object that need some, and returns what it does not need when a budget
+// runs short. Only drawn tokens are spent, so no partition, outage or pause can cause overspending.
+// Tokens held by an instance that dies are lost to the budget, which limits how much an instance
+// should draw ahead of demand.
 package prepaid
 
 import (
@@ -14,24 +13,24 @@
 	"fmt"
 )
 
-// maxWriters bounds the writers remembered in a shard. Those that have not
-// written for longest go first.
+// maxWriters bounds the writers kept in a shard. The one whose last write is oldest is evicted
+// first.
 const maxWriters = 600
 
 // Budget is one prepaid budget in the ledger.
 type Budget struct {
-	// Prepaid is all that was ever prepaid, in tokens.
+	// Prepaid is the total ever prepaid, in tokens.
 	Prepaid int64 `json:"prepaid"`
 	// Granted is what instances have drawn and not returned, spent or not.
 	Granted int64 `json:"granted"`
 }
 
-// Free returns the tokens that may be drawn; negative after a reduction.
+// Free returns the tokens that may be drawn; negative after a reduction of Prepaid.
 func (b Budget) Free() int64 { return b.Prepaid - b.Granted }
 
-// Counter is what one incarnation has moved of one budget. Both numbers only
-// grow, so a write that is repeated after a lost answer changes nothing, and a
-// writer finds out by reading what became of a write whose answer was lost.
+// Counter is what one incarnation has moved of one budget. Both numbers only grow, so repeating a
+// write after a lost answer changes nothing, and by reading its counter a writer finds out whether
+// such a write took effect.
 type Counter struct {
 	Drawn    int64 `json:"drawn"`
 	Returned int64 `json:"returned,omitempty"`
@@ -44,46 +43,46 @@
 	Counters map[string]Counter `json:"counters"`
 }
 
-// Shard is one object of the ledger: many budgets.
+// Shard is one object of the ledger and holds many budgets.
 type Shard struct {
-	// Version is the configuration that the prepaid amounts are of.
+	// Version is the version of the configuration that set the prepaid amounts.
 	Version uint64            `json:"version"`
 	Budgets map[string]Budget `json:"budgets"`
 	Writers map[string]Writer `json:"writers"`
-	// Holders tells, by name, how each instance that draws stood when it last wrote, with
-	// those that it draws for. It paces drawing and decides nothing about safety.
+	// Holders is the state, by name, of each instance that draws when it last wrote, including the
+	// instances that it draws for. It paces drawing; safety does not depend on it.
 	Holders map[string]Holder `json:"holders,omitempty"`
 	Turn    uint64            `json:"turn"`
-	// Drawer is the instance that draws for the others. Whoever reads the object, also by
-	// losing a write, learns whom to ask. It decides nothing about safety.
+	// Drawer is the instance that draws for the others. An instance that reads the object, also
+	// after a conflicting write, learns from it which drawer to ask. Safety does not depend on it.
 	Drawer Drawer `json:"drawer,omitzero"`
-	// Era is the store's era that the object was made in; 0 in a store that tells none, or has
-	// never gone back.
+	// Era is the store's era in which the object was created; 0 in a store that reports no era or
+	// was never rolled back.
 	Era uint64 `json:"era,omitempty"`
-	// Unsettled says that draws of the seconds before the era may be missing still, Told which
-	// incarnations have told what they have seen.
+	// Unsettled says that draws of the last seconds before the era may still be missing; Reported
+	// holds the incarnations that have reported what they have seen.
 	Unsettled bool            `json:"unsettled,omitempty"`
-	Told      map[string]bool `json:"told,omitempty"`
-	// Reserves are tokens, by an instance's name and by budget, that stay undrawn.
+	Reported  map[string]bool `json:"told,omitempty"`
+	// Reserves are tokens that stay undrawn, by an instance's name and by budget.
 	Reserves map[string]map[string]int64 `json:"reserves,omitempty"`
-	// Forgotten is the turn of the newest writer that has been forgotten.
+	// Forgotten is the turn of the newest writer that has been evicted.
 	Forgotten uint64 `json:"forgotten,omitempty"`
 }
 
-// Drawer names an instance and tells where others reach it.
+// Drawer is the name and the address of an instance that draws.
 type Drawer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Holder is how one instance stood with those that it draws for, by budget.
+// Holder is the state of one instance and those that it draws for, by budget.
 type Holder struct {
-	// PerSecond is their demand in tokens a second, Held what they had free.
+	// PerSecond is their demand in tokens a second, Held their free tokens.
 	PerSecond map[string]int64 `json:"per_second,omitempty"`
 	Held      map[string]int64 `json:"held,omitempty"`
 }
 
-// DecodeShard reads a shard; nil is an empty one.
+// DecodeShard decodes a shard; an empty value is an empty shard.
 func DecodeShard(value []byte) (*Shard, error) {
 	s := &Shard{}
 	if len(value) > 0 {
@@ -100,7 +99,7 @@
 	return s, nil
 }
 
-// Encode writes a shard as the value of its object.
+// Encode encodes a shard as the value of its object.
 func (s *Shard) Encode() ([]byte, error) { return json.Marshal(s) }
 
 // Amounts are the prepaid amounts of one version of the configuration.
@@ -109,8 +108,8 @@
 	Tokens  map[string]int64
 }
 
-// SetPrepaid applies a configuration's amounts unless the shard has those of the
-// same or a newer version: an instance that lags cannot undo a top-up.
+// SetPrepaid applies a configuration's amounts unless the shard has those of the same or a newer
+// version, so that an instance with an old configuration cannot undo a top-up.
 func (s *Shard) SetPrepaid(amounts Amounts) {
 	if amounts.Version <= s.Version {
 		return
@@ -118,7 +117,7 @@
 	s.Version = amounts.Version
 	for id, b := range s.Budgets {
 		if _, declared := amounts.Tokens[id]; !declared {
-			b.Prepaid = 0 // nothing more is drawn on a budget that is gone
+			b.Prepaid = 0 // nothing more is drawn from a budget that was removed
 			s.Budgets[id] = b
 		}
 	}
@@ -129,7 +128,7 @@
 	}
 }
 
-// SetHolder notes how an instance stands.
+// SetHolder sets an instance's holder state.
 func (s *Shard) SetHolder(name string, h Holder) {
 	if s.Holders == nil {
 		s.Holders = map[string]Holder{}
@@ -137,9 +136,9 @@
 	s.Holders[name] = h
 }
 
-// holdersElsewhere sums demand and free tokens of a budget at the instances other than
-// the one named, as far as counts says that they are still there.
-func (s *Shard) holdersElsewhere(name, budget string, counts func(string) bool) (perSecond float64, held int64) {
+// demandElsewhere sums demand and free tokens of a budget at all instances other than name for
+// which counts returns true.
+func (s *Shard) demandElsewhere(name, budget string, counts func(string) bool) (perSecond float64, held int64) {
 	for other, h := range s.Holders {
 		if other != name && counts(other) {
 			perSecond += float64(h.PerSecond[budget])
@@ -149,94 +148,94 @@
 	return perSecond, held
 }
 
-// Wish is what one write wants of one budget, and what the writer knows of it.
-type Wish struct {
-	// Known is what the writer has taken over of its counter. Tokens drawn
-	// beyond it by a write whose answer was lost count towards the need.
+// Transfer is what one write is to draw and return of one budget, and what the writer knows of it.
+type Transfer struct {
+	// Known is the part of its counter that the writer has applied. Tokens beyond it, drawn by a
+	// write whose answer was lost, count towards the need.
 	Known Counter
-	// Returned is all that the writer has ever given back, this time included.
+	// Returned is the writer's total of returned tokens, including this transfer.
 	Returned int64
-	// Need is drawn whole or not at all; a part of it would serve nobody here
-	// and be missing elsewhere.
+	// Need is drawn whole or not at all, since a part of it would not serve the request and would
+	// be missing elsewhere.
 	Need int64
 	// More is what further requests wait for; as much of it as is free is drawn.
 	More int64
-	// Ahead is wanted beyond that, of which at most 1/AheadPart of what is
-	// free is drawn, so that all instances find some.
-	Ahead     int64
-	AheadPart int64
+	// Ahead is wanted beyond that. At most 1/AheadDivisor of what is free is drawn for it, so that
+	// all instances find some.
+	Ahead        int64
+	AheadDivisor int64
 }
 
-// Start is where a writer's first try to write to a shard found it: a row that a try left there
-// is of the same era and a later turn, or has been forgotten since.
+// Start is the state of a shard at a writer's first attempt to write it. A row that an attempt has
+// written there has the same era and a later turn, or has been evicted since.
 type Start struct{ Era, Turn uint64 }
 
-// Apply carries a writer's wishes out. It is computed on the state that the
-// conditional write replaces, and changes nothing if it is applied again. start is where the
-// writer's first try found the shard. Nothing is drawn while the shard is unsettled.
-func (s *Shard) Apply(writer string, start Start, wishes map[string]Wish) {
+// Apply applies a writer's transfers. It is computed on the state that the conditional write
+// replaces and is idempotent. start is the shard's state at the writer's first attempt. Nothing is
+// drawn while the shard is unsettled.
+func (s *Shard) Apply(writer string, start Start, transfers map[string]Transfer) {
 	row, known := s.Writers[writer]
 	if row.Counters == nil {
 		row.Counters = map[string]Counter{}
 	}
 	forgotten := !known && s.Era == start.Era && s.Forgotten > start.Turn
-	for id, wish := range wishes {
+	for id, transfer := range transfers {
 		counter, moved := row.Counters[id]
 		if !moved && forgotten {
-			counter = wish.givenUp()
+			counter = transfer.writeOff()
 		}
-		row.Counters[id] = s.applyOne(id, wish, counter)
+		row.Counters[id] = s.applyTransfer(id, transfer, counter)
 	}
 	s.Turn++
 	row.Turn = s.Turn
 	s.Writers[writer] = row
-	s.prune()
+	s.evictOldestWriter()
 }
 
-// givenUp is the counter of a writer that the shard may have forgotten: what open writes
-// of it drew is given up and what they returned is taken for returned. Both lose tokens,
-// neither spends any twice. A writer without a row that cannot have been forgotten has
-// never written: taken for forgotten, an instance that had its tokens from a drawer lost
-// all of them when it gave them back at its planned stop.
-func (w Wish) givenUp() Counter {
+// writeOff returns the counter of a writer that the shard may have evicted. What its writes of
+// unknown outcome have drawn is written off, and what they returned counts as returned. Both may
+// lose tokens, but none are spent twice. A writer without a row that cannot have been evicted has
+// never written. When such writers were treated as evicted, an instance that had its tokens from a
+// drawer lost all of them when it returned them at its planned stop.
+func (w Transfer) writeOff() Counter {
 	return Counter{Drawn: w.Known.Drawn, Returned: w.Returned}
 }
 
-func (s *Shard) applyOne(id string, wish Wish, counter Counter) Counter {
+func (s *Shard) applyTransfer(id string, transfer Transfer, counter Counter) Counter {
 	b, exists := s.Budgets[id]
 	if !exists {
 		return counter
 	}
-	if lost := wish.Known.Drawn - counter.Drawn; lost > 0 {
-		// The store went back behind this draw, whose tokens are being spent.
+	if lost := transfer.Known.Drawn - counter.Drawn; lost > 0 {
+		// The store was rolled back to before this draw, whose tokens are being spent.
 		b.Granted += lost
-		counter.Drawn = wish.Known.Drawn
+		counter.Drawn = transfer.Known.Drawn
 	}
-	if back := wish.Returned - counter.Returned; back > 0 {
+	if back := transfer.Returned - counter.Returned; back > 0 {
 		b.Granted -= back
-		counter.Returned = wish.Returned
+		counter.Returned = transfer.Returned
 	}
 	s.Budgets[id] = b
 	if s.Unsettled {
 		return counter
 	}
-	wish.found(counter.Drawn - wish.Known.Drawn)
-	tokens := wish.draw(s.Free(id))
+	transfer.deductFound(counter.Drawn - transfer.Known.Drawn)
+	tokens := transfer.draw(s.Free(id))
 	b.Granted += tokens
 	counter.Drawn += tokens
 	s.Budgets[id] = b
 	return counter
 }
 
-// found takes tokens that an earlier write drew off what is wanted.
-func (w *Wish) found(tokens int64) {
+// deductFound reduces what is wanted by the tokens that an earlier write has drawn.
+func (w *Transfer) deductFound(tokens int64) {
 	rest := max(tokens-w.Need, 0)
 	w.Need = max(w.Need-tokens, 0)
 	w.Ahead = max(w.Ahead-max(rest-w.More, 0), 0)
 	w.More = max(w.More-rest, 0)
 }
 
-func (w *Wish) draw(free int64) int64 {
+func (w *Transfer) draw(free int64) int64 {
 	if free <= 0 {
 		return 0
 	}
@@ -245,11 +244,11 @@
 		tokens = 0
 	}
 	tokens += min(w.More, free-tokens)
-	return tokens + max(min(w.Ahead, (free-tokens)/max(w.AheadPart, 1)), 0)
+	return tokens + max(min(w.Ahead, (free-tokens)/max(w.AheadDivisor, 1)), 0)
 }
 
-// prune forgets the writer that has not written for longest.
-func (s *Shard) prune() {
+// evictOldestWriter evicts the writer whose last write is oldest if there are too many.
+func (s *Shard) evictOldestWriter() {
 	if len(s.Writers) <= maxWriters {
 		return
 	}
--- a/pkg/prepaid/share_test.go
+++ b/pkg/prepaid/share_test.go
@@ -9,8 +9,8 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid"
 )
 
-// unevenLoad is callers of one account that reach instances in the proportions given,
-// in requests a tick of half a second.
+// unevenLoad is the load of one account's callers, in requests for each instance and tick of half a
+// second.
 type unevenLoad struct {
 	fleet    *fleet
 	perTick  []int
@@ -36,11 +36,11 @@
 	}
 }
 
-// Two of seven instances get three fifths of the callers, as where one failure domain has
-// several times the clients of the others. All instances are cut off from the store and
-// from each other for eight seconds. With equal shares the two run dry within seconds while
-// the others keep what nobody asks them for, and their callers are refused.
-// The load is the new customer's: an account with 1.3 times of what its day needs.
+// Two of seven instances get three fifths of the requests, as if one failure domain had several
+// times the clients of the others. All instances are partitioned from the store and from each other
+// for eight seconds. Guards against equal shares: with these the two run out of tokens within
+// seconds and refuse requests while the others hold tokens that nobody asks for. The load is that
+// of a new customer: an account with 1.3 times what its day needs.
 func TestBusyInstancesOutlastACutInASmallFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		load := &unevenLoad{perTick: []int{18, 18, 5, 5, 5, 5, 4}, size: 1000}
@@ -52,18 +52,18 @@
 		}
 		load.run(t, 20)
 		for _, m := range load.fleet.nodes {
-			m.cut = true
+			m.partitioned = true
 		}
 		load.run(t, 16)
 		if load.refusals > load.served/20 {
-			t.Errorf("%d refused, %d served in the cut", load.refusals, load.served)
+			t.Errorf("%d refused, %d served while partitioned", load.refusals, load.served)
 		}
 	})
 }
 
-// One account's callers move from one instance to another, as when a tenant's burst ends.
-// What the first instance held for them goes back and is there for the others, though the
-// account is far from its end: what lies idle at an instance is lost when that stops.
+// One account's requests move from one instance to another, as when a client account's burst ends.
+// Tokens that the first instance held for them go back for use by others, though the account is far
+// from exhausted: tokens held idle are lost when the instance dies.
 func TestSurplusGoesBackWhenDemandMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		load := &unevenLoad{perTick: []int{40, 0, 0}, size: 1000}
@@ -73,14 +73,14 @@
 		load.perTick = []int{1, 39, 0}
 		load.run(t, 40)
 		if left := load.fleet.nodes[0].Free(account); left > held/4 {
-			t.Errorf("%d of %d tokens still lie where demand was", left, held)
+			t.Errorf("%d of %d tokens are still held where the demand was", left, held)
 		}
 	})
 }
 
-// Callers use an account up evenly at seven instances. Whenever these all lose power at
-// once, what lies at them is gone for good, so it has to shrink with what is left: it stays
-// under half of that, to the end.
+// Seven instances use an account up evenly. If they all lose power at once, the tokens that they
+// hold are lost for good, so these must shrink with what is left: they stay below half of it
+// throughout.
 func TestAllInstancesHoldAPartOfWhatIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all = 4_000_000
@@ -95,16 +95,16 @@
 				held += m.Free(account)
 			}
 			if left := all - spent; held > left/2 && held > 7*load.size*8 {
-				t.Errorf("%d of the %d tokens left lie at instances", held, left)
+				t.Errorf("%d of the %d tokens left are held by instances", held, left)
 			}
 		}
 	})
 }
 
-// An account comes to its end under small urgent requests and large ones that are not. The
-// large ones are told to come back once they would take the last fiftieth, and only what
-// does not fit at all is called exhausted; urgent ones are served to the end, many times as
-// many as large ones would be.
+// An account runs out under small urgent requests and large non-urgent ones. The large ones are
+// told to retry once they would use the last fiftieth; only a request larger than the rest is
+// refused as exhausted. Urgent requests are served until the account is empty, many times as many
+// as large ones would be.
 func TestTheLastOfABudgetIsForUrgentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all, large, small = 2_000_000, 9000, 1000
@@ -127,12 +127,12 @@
 			f.tick()
 		}
 		if kept != 1 || urgent < all/50/small {
-			t.Errorf("%d large ones told to come back, %d urgent ones served after", kept, urgent)
+			t.Errorf("%d large requests told to retry, %d urgent ones served after that", kept, urgent)
 		}
 		var short *prepaid.ShortError
 		_, err := f.nodes[0].Reserve(t.Context(), account, large, false)
 		if errors.Is(err, prepaid.ErrKept) || !errors.As(err, &short) {
-			t.Errorf("what does not fit is refused with %v", err)
+			t.Errorf("a request that exceeds the rest is refused with %v", err)
 		}
 	})
 }
--- a/pkg/prepaid/size_test.go
+++ b/pkg/prepaid/size_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// sizedShard is a ledger object with so many budgets, each moved by so many
-// instances.
+// sizedShard returns a ledger object with that many budgets, each of which that many instances have
+// moved.
 func sizedShard(budgets, instances int) *Shard {
 	s, _ := DecodeShard(nil)
 	amounts := Amounts{Version: 1, Tokens: map[string]int64{}}
@@ -15,17 +15,17 @@
 	}
 	s.SetPrepaid(amounts)
 	for i := range instances {
-		wishes := map[string]Wish{}
+		transfers := map[string]Transfer{}
 		for id := range amounts.Tokens {
-			wishes[id] = Wish{Need: 900, Returned: 400, Known: Counter{}}
+			transfers[id] = Transfer{Need: 900, Returned: 400, Known: Counter{}}
 		}
-		s.Apply(fmt.Sprintf("edge-zone-%03d-01ARZ3NDEKTSV4RRFFQ69G5FAV", i), Start{}, wishes)
+		s.Apply(fmt.Sprintf("edge-zone-%03d-01ARZ3NDEKTSV4RRFFQ69G5FAV", i), Start{}, transfers)
 	}
 	return s
 }
 
-// What a ledger object costs grows with budgets times instances; its size bounds
-// how many of them one object may hold.
+// The cost of a ledger object grows with the number of budgets times the number of instances; its
+// size limits how many of them one object can hold.
 func BenchmarkShardDecodeApplyEncode(b *testing.B) {
 	for _, size := range []struct{ budgets, instances int }{{3, 9}, {6, 80}, {24, 80}, {24, 330}} {
 		b.Run(fmt.Sprintf("%d_budgets_%d_instances", size.budgets, size.instances), func(b *testing.B) {
@@ -38,7 +38,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				s.Apply("edge-zone-000-01ARZ3NDEKTSV4RRFFQ69G5FAV", Start{}, map[string]Wish{"account0000": {Need: 1, AheadPart: 1}})
+				s.Apply("edge-zone-000-01ARZ3NDEKTSV4RRFFQ69G5FAV", Start{}, map[string]Transfer{"account0000": {Need: 1, AheadDivisor: 1}})
 				if _, err := s.Encode(); err != nil {
 					b.Fatal(err)
 				}
--- a/pkg/prepaid/witness.go
+++ b/pkg/prepaid/witness.go
@@ -9,59 +9,61 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// A draw that the store forgets, since it comes back from a copy, is known to those that have seen
-// it. So that a writer is never the only one, it tells a witness, in another failure domain where
-// there is one, before any token of the draw is spent, lent or dealt out. A draw that no witness has
-// is like one whose answer was lost: it stays in the ledger, and the next write finds it.
+// A draw that the store loses, because it is restored from an older copy, is known to the instances
+// that have seen it. The writer must not be the only one. Before any token of the draw is spent,
+// lent or dealt out, the writer therefore reports it to a witness, in another failure domain if
+// there is one. A draw without a witness is treated like one whose answer was lost: it stays in the
+// ledger, and the next write finds it.
 
 // How a writer has its draws witnessed.
 const (
-	// witnessesAsked is how many are asked at once; one that answers is enough.
-	witnessesAsked = 2
-	// witnessPatience is how long they are waited for before further ones are asked; all rounds fit
-	// into the time that a request waits for a write.
-	witnessPatience = 60 * time.Millisecond
-	witnessRounds   = 3
-	// witnessTimeout bounds one question. It goes on when another witness has answered: two know
-	// more surely than one.
+	// witnessesPerRound is how many witnesses are asked at once; one that accepts is enough.
+	witnessesPerRound = 2
+	// witnessRoundTimeout is how long to wait for them before asking others. All rounds fit into
+	// the time that a request waits for a write.
+	witnessRoundTimeout = 60 * time.Millisecond
+	maxWitnessRounds    = 3
+	// witnessTimeout bounds one call. The call continues after another witness has accepted: two
+	// witnesses are safer than one.
 	witnessTimeout = time.Second
-	// maxWitnessed bounds the writers whose draws are remembered here; the ledger remembers as many.
+	// maxWitnessed bounds the writers whose draws this instance remembers; the ledger keeps as
+	// many.
 	maxWitnessed = maxWriters
 )
 
-// errUnseen means that no witness has a draw: its tokens are not spent. For requests it is as if
-// the ledger did not answer.
-var errUnseen = errors.New("no other instance has seen the draw")
+// errUnwitnessed means that no witness has accepted a draw, so its tokens are not spent. Requests
+// treat it as if the ledger did not answer.
+var errUnwitnessed = errors.New("no other instance has seen the draw")
 
-// witnessed holds what writers have drawn as they told it, by writer and budget.
-type witnessed map[string]*witnessedRow
+// witnessedDraws holds the reported draws of other instances by writer.
+type witnessedDraws map[string]*witnessedRow
 
-// witnessedRow is one writer's; told orders the rows by when they were last told.
+// witnessedRow is one writer's total drawn by budget; reportedAt is the time of its last report.
 type witnessedRow struct {
-	drawn map[string]int64
-	told  time.Time
+	drawn      map[string]int64
+	reportedAt time.Time
 }
 
-// note keeps the highest that was told of what a writer has drawn of a budget.
-func (w witnessed) note(writer, budget string, drawn int64, now time.Time) {
+// record keeps the highest reported total that a writer has drawn of a budget.
+func (w witnessedDraws) record(writer, budget string, drawn int64, now time.Time) {
 	row := w[writer]
 	if row == nil {
-		w.makeRoom()
+		w.evictOldest()
 		row = &witnessedRow{drawn: map[string]int64{}}
 		w[writer] = row
 	}
-	row.told = now
+	row.reportedAt = now
 	row.drawn[budget] = max(row.drawn[budget], drawn)
 }
 
-// makeRoom forgets the row that was told longest ago if there are as many as there may be.
-func (w witnessed) makeRoom() {
+// evictOldest evicts the row whose last report is oldest if the maximum is reached.
+func (w witnessedDraws) evictOldest() {
 	if len(w) < maxWitnessed {
 		return
 	}
 	oldest := ""
 	for writer, row := range w {
-		if oldest == "" || row.told.Before(w[oldest].told) {
+		if oldest == "" || row.reportedAt.Before(w[oldest].reportedAt) {
 			oldest = writer
 		}
 	}
@@ -72,20 +74,21 @@
 func (n *Node) Witness(req *prepaidpb.WitnessRequest) *prepaidpb.WitnessReply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// What was seen of an era that is over has been told: nobody would hear of this draw.
-	if max(req.Era, firstEra) < n.floor || req.Row.GetWriter() == "" {
+	// This instance may have reported already what it saw of a past era, so it would not report
+	// this draw any more.
+	if max(req.Era, firstEra) < n.minEra || req.Row.GetWriter() == "" {
 		return &prepaidpb.WitnessReply{Declined: true}
 	}
 	for _, c := range req.Row.Counters {
-		n.witnessed.note(req.Row.Writer, c.Budget, c.Drawn, n.Now())
+		n.witnessed.record(req.Row.Writer, c.Budget, c.Drawn, n.Now())
 	}
 	return &prepaidpb.WitnessReply{}
 }
 
-// haveWitnessed has another instance remember what a write drew, and returns errUnseen if none does.
-// An instance that knows no other living one is its own witness.
-func (n *Node) haveWitnessed(ctx context.Context, shard int, after *Shard) error {
-	row := n.drawnIn(after)
+// ensureWitnessed has another instance remember what a write drew, and returns errUnwitnessed if
+// none does. An instance that knows no other live one needs no witness.
+func (n *Node) ensureWitnessed(ctx context.Context, shard int, after *Shard) error {
+	row := n.newlyDrawn(after)
 	if len(row.Counters) == 0 {
 		return nil
 	}
@@ -93,67 +96,67 @@
 	if len(witnesses) == 0 {
 		return nil
 	}
-	question := witnessQuestion{
+	query := witnessQuery{
 		req:     &prepaidpb.WitnessRequest{Era: after.Era, Row: row},
 		answers: make(chan error, len(witnesses)),
 	}
-	err := errNoAnswer
-	for round := 0; round < witnessRounds && len(witnesses) > 0; round++ {
-		next := min(witnessesAsked, len(witnesses))
+	err := errWitnessTimeout
+	for round := 0; round < maxWitnessRounds && len(witnesses) > 0; round++ {
+		next := min(witnessesPerRound, len(witnesses))
 		for _, to := range witnesses[:next] {
-			n.askWitness(to, &question)
+			n.queryWitness(to, &query)
 		}
 		witnesses = witnesses[next:]
-		if err = question.await(ctx); err == nil {
+		if err = query.await(ctx); err == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %w", errUnseen, err)
+	return fmt.Errorf("%w: %w", errUnwitnessed, err)
 }
 
-// drawnIn is what this instance has drawn, of the budgets of which a write left more than it has taken
-// over.
-func (n *Node) drawnIn(after *Shard) *prepaidpb.SeenRow {
+// newlyDrawn returns this instance's drawn totals of the budgets for which the written shard has
+// more than this instance has applied.
+func (n *Node) newlyDrawn(after *Shard) *prepaidpb.SeenRow {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	drawn := map[string]Counter{}
 	for id, counter := range after.Writers[n.Self].Counters {
-		if counter.Drawn > n.purse(id).counter.Drawn {
+		if counter.Drawn > n.position(id).counter.Drawn {
 			drawn[id] = Counter{Drawn: counter.Drawn}
 		}
 	}
-	return tellRow(n.Self, drawn)
+	return newSeenRow(n.Self, drawn)
 }
 
-// Why a witness does not have a draw.
+// Why a witness has not accepted a draw.
 var (
 	errWitnessDeclined = errors.New("witness declined")
-	errNoAnswer        = errors.New("no witness answered in time")
+	errWitnessTimeout  = errors.New("no witness answered in time")
 )
 
-// witnessQuestion is one draw as witnesses are asked to remember it.
-type witnessQuestion struct {
+// witnessQuery is the request to witnesses to remember one draw.
+type witnessQuery struct {
 	req *prepaidpb.WitnessRequest
-	// answers takes one of each witness, and has room for all; waiting counts those that lack.
-	answers chan error
-	waiting int
+	// answers has room for the answer of each witness; numPending counts the missing ones.
+	answers    chan error
+	numPending int
 }
 
-// await waits for the first witness that has the draw, until all that were asked have answered or
-// patience ends.
-func (q *witnessQuestion) await(ctx context.Context) error {
-	patience := time.NewTimer(witnessPatience)
-	defer patience.Stop()
-	err := errNoAnswer
-	for q.waiting > 0 {
+// await waits for the first witness that accepts the draw, until all that were asked have answered
+// or witnessRoundTimeout has passed.
+func (q *witnessQuery) await(ctx context.Context) error {
+	timer := time.NewTimer(witnessRoundTimeout)
+	defer timer.Stop()
+	err := errWitnessTimeout
+	for q.numPending > 0 {
 		select {
 		case err = <-q.answers:
-			q.waiting--
+			q.numPending--
 			if err == nil {
 				return nil
 			}
-		case <-patience.C:
-			return errNoAnswer
+		case <-timer.C:
+			return errWitnessTimeout
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -161,9 +164,9 @@
 	return err
 }
 
-// askWitness has one instance remember a draw; its answer goes to the question.
-func (n *Node) askWitness(to string, q *witnessQuestion) {
-	q.waiting++
+// queryWitness asks one instance to remember a draw; its answer is sent to q.answers.
+func (n *Node) queryWitness(to string, q *witnessQuery) {
+	q.numPending++
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), witnessTimeout)
 		defer cancel()
@@ -175,8 +178,8 @@
 	}()
 }
 
-// witnessedRows is what others have told this instance that they drew from a shard, also by what they
-// dealt out to it; n.mu is held.
+// witnessedRows returns what other instances have drawn from a shard according to their witness
+// requests and, for drawers, their refill replies; n.mu is held.
 func (n *Node) witnessedRows(shard int) []seenRow {
 	var rows []seenRow
 	for writer, row := range n.witnessed {
--- a/pkg/prepaid/witness_test.go
+++ b/pkg/prepaid/witness_test.go
@@ -9,16 +9,16 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// Figures of a draw whose writer dies at once.
+// Parameters of a draw whose writer dies at once.
 const (
 	largeDraw = 3000
-	// drawnOut is how many rounds of requests it takes to spend all that can be had.
-	drawnOut = 60
+	// drainRounds is the number of rounds of requests that it takes to spend all available tokens.
+	drainRounds = 60
 )
 
-// spendAll has the living spend whatever they get, and returns how much that is.
+// spendAll has the live instances spend all that they get, and returns how much that is.
 func (f *fleet) spendAll(t *testing.T) (spent int64) {
-	for range drawnOut {
+	for range drainRounds {
 		for _, m := range f.nodes {
 			if !m.dead && spend(t, m, 100) {
 				spent += 100
@@ -29,43 +29,43 @@
 	return spent
 }
 
-// dieBehindALostDraw has the writer of the last draw die, and the store come back from before it.
-func (f *fleet) dieBehindALostDraw(writer *member) {
-	f.goBack(1)
-	f.change(func() { writer.dead = true })
+// killWriterAndRollBack rolls the store back to before the last draw and kills its writer.
+func (f *fleet) killWriterAndRollBack(writer *member) {
+	f.rollBack(1)
+	f.update(func() { writer.dead = true })
 	for _, m := range f.nodes {
 		switch {
 		case m.dead:
-		case m.noStore:
+		case m.storeCut:
 			m.HeardEra(f.storeEra())
 		default:
-			m.sawEra()
+			m.noteStoreEra()
 		}
 	}
 	f.tick()
 }
 
-// Guards against an account that spends more than it prepaid: whoever drew tokens spends them and dies
-// before another instance hears of it, and the store comes back from before the draw.
+// Guards against overspending when an instance spends the tokens of a draw and dies before any
+// other instance knows of the draw, and the store is rolled back to before it.
 func TestDrawOfAWriterThatDiesAtOnceIsNotSpentTwice(t *testing.T) {
 	const all = 10_000
 	cases := []struct {
 		name    string
 		drawers []string
-		// use has the tokens of a draw spent, and returns who drew them and how many were.
+		// use has the tokens of a draw spent, and returns the writer and how many were spent.
 		use func(t *testing.T, f *fleet) (writer *member, spent int64)
-		// alsoDead are the places of those that die with the writer, withoutStore of those that do not
-		// reach the store from then on.
+		// alsoDead are the indexes of instances that die with the writer, withoutStore of those
+		// that do not reach the store from then on.
 		alsoDead, withoutStore []int
 	}{
-		{"by the drawer of all", []string{"i0", "i1"}, spentByTheWriter, nil, nil},
-		{"by the drawer of all, of whose two witnesses one dies", []string{"i0", "i8"}, spentByTheWriter, []int{1}, []int{2}},
-		{"each draws for itself", nil, spentByTheWriter, nil, nil},
-		{"lent to another", nil, spentByABorrower, nil, nil},
-		{"lent by the drawer of all", []string{"i0", "i1"}, spentByABorrower, nil, nil},
+		{"by the drawer of all", []string{"i0", "i1"}, spendByWriter, nil, nil},
+		{"by the drawer of all, of whose two witnesses one dies", []string{"i0", "i8"}, spendByWriter, []int{1}, []int{2}},
+		{"each draws for itself", nil, spendByWriter, nil, nil},
+		{"lent to another", nil, spendByBorrower, nil, nil},
+		{"lent by the drawer of all", []string{"i0", "i1"}, spendByBorrower, nil, nil},
 		{"one draw behind the other", nil, func(t *testing.T, f *fleet) (*member, int64) {
-			_, before := spentByTheWriter(t, f)
-			writer, spent := spentByTheWriter(t, f)
+			_, before := spendByWriter(t, f)
+			writer, spent := spendByWriter(t, f)
 			return writer, before + spent
 		}, nil, nil},
 	}
@@ -76,26 +76,26 @@
 				f.deathsKnown, f.drawers = true, c.drawers
 				writer, spent := c.use(t, f)
 				for _, place := range c.alsoDead {
-					f.change(func() { f.nodes[place].dead = true })
+					f.update(func() { f.nodes[place].dead = true })
 				}
 				for _, place := range c.withoutStore {
-					f.change(func() { f.nodes[place].noStore = true })
+					f.update(func() { f.nodes[place].storeCut = true })
 				}
-				f.dieBehindALostDraw(writer)
+				f.killWriterAndRollBack(writer)
 				spent += f.spendAll(t)
 				if spent > all {
-					t.Errorf("%d tokens were spent of %d", spent, all)
+					t.Errorf("%d tokens of %d were spent", spent, all)
 				}
 				if spent < all/2 {
-					t.Errorf("only %d tokens of %d can be had", spent, all)
+					t.Errorf("only %d tokens of %d can be spent", spent, all)
 				}
-				time.Sleep(10 * time.Second) // what was begun ends
+				time.Sleep(10 * time.Second) // lets calls in progress end
 			})
 		})
 	}
 }
 
-func spentByTheWriter(t *testing.T, f *fleet) (*member, int64) {
+func spendByWriter(t *testing.T, f *fleet) (*member, int64) {
 	t.Helper()
 	writer := f.nodes[0]
 	if !spend(t, writer, largeDraw) {
@@ -105,21 +105,21 @@
 	return writer, largeDraw
 }
 
-func spentByABorrower(t *testing.T, f *fleet) (*member, int64) {
+func spendByBorrower(t *testing.T, f *fleet) (*member, int64) {
 	t.Helper()
 	writer, borrower := f.nodes[0], f.nodes[5]
-	f.change(func() { borrower.noStore = true })
+	f.update(func() { borrower.storeCut = true })
 	lent, err := borrower.Lend(t.Context(), writer.name, account, largeDraw, 0)
 	if err != nil || lent < largeDraw {
 		t.Fatalf("lent %d, %v", lent, err)
 	}
 	synctest.Wait()
-	f.change(func() { borrower.noStore = false })
-	return writer, lent // whoever borrowed them spends them
+	f.update(func() { borrower.storeCut = false })
+	return writer, lent // the borrower spends the lent tokens
 }
 
-// Guards against a draw that is drawn again because its writer died together with its witnesses: those
-// that were dealt its tokens have seen it too.
+// Guards against a draw that is made again because its writer and its witnesses died together:
+// instances that were dealt its tokens have seen it, too.
 func TestAskersKnowTheDrawOfWhatTheyWereDealt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 9, map[string]int64{account: 10_000})
@@ -131,12 +131,12 @@
 			f.tick()
 		}
 		drawn := f.rows()["i0"].Counters[account].Drawn
-		f.tick() // the answers to all reports tell of it
-		f.goBack(1000)
+		f.tick() // the replies to all reports include the draw
+		f.rollBack(1000)
 		for _, m := range append([]*member{f.nodes[0]}, f.witnessesOfAll("i0")...) {
-			f.change(func() { m.dead = true })
+			f.update(func() { m.dead = true })
 		}
-		f.nodes[8].sawEra()
+		f.nodes[8].noteStoreEra()
 		for _, m := range f.nodes {
 			if !m.dead {
 				m.HeardEra(f.storeEra())
@@ -146,12 +146,12 @@
 			f.tick()
 		}
 		if got := f.rows()["i0"].Counters[account].Drawn; got < drawn {
-			t.Errorf("%d tokens of the dead writer's draws are in the ledger, of %d", got, drawn)
+			t.Errorf("the ledger has %d of %d tokens drawn by the dead writer", got, drawn)
 		}
 	})
 }
 
-// witnessesOfAll returns who has ever witnessed a writer's draws.
+// witnessesOfAll returns all instances that have witnessed any of a writer's draws.
 func (f *fleet) witnessesOfAll(writer string) []*member {
 	var all []*member
 	for _, m := range f.nodes {
@@ -162,8 +162,8 @@
 	return all
 }
 
-// Guards against a draw that nobody tells: its witness had told what it had seen, since the store's era
-// was over, before it was asked to remember the draw.
+// Guards against a draw that no instance reports: its witness was asked to remember it after the
+// store's era was over and the witness had reported what it had seen.
 func TestDrawIsNotWitnessedOnceItsEraHasBeenTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 3, map[string]int64{account: 10_000})
@@ -171,18 +171,18 @@
 		for _, m := range f.nodes {
 			spend(t, m, 100)
 		}
-		f.goBack(1000)
-		f.nodes[0].sawEra()
+		f.rollBack(1000)
+		f.nodes[0].noteStoreEra()
 		f.nodes[1].HeardEra(f.storeEra())
 		synctest.Wait()
 		f.tick()
 		row := &prepaidpb.SeenRow{Writer: "i2", Counters: []*prepaidpb.SeenCounter{{Budget: account, Drawn: 500}}}
 		if !f.nodes[1].Node.Witness(&prepaidpb.WitnessRequest{Era: f.storeEra() - 1, Row: row}).Declined {
-			t.Error("a draw of the era that is over is witnessed by one that has told")
+			t.Error("a draw of a past era is witnessed by an instance that has reported")
 		}
 		if f.nodes[1].Node.Witness(&prepaidpb.WitnessRequest{Era: f.storeEra(), Row: row}).Declined {
-			t.Error("a draw of the present era is not witnessed")
+			t.Error("a draw of the current era is not witnessed")
 		}
-		time.Sleep(10 * time.Second) // what was begun ends
+		time.Sleep(10 * time.Second) // lets calls in progress end
 	})
 }
--- a/pkg/prepaid/write.go
+++ b/pkg/prepaid/write.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// writeTimeout bounds one write with its tries. It goes on when the request that
-// began it has given up: what it draws serves the next ones.
+// writeTimeout bounds one write with all its attempts. The write continues after the request that
+// started it has given up, since what it draws serves the next ones.
 const writeTimeout = 2 * time.Second
 
-// How an outage makes an instance hold more ahead.
+// How much more an instance holds ahead after an outage.
 const (
-	// outageMargin times its length is what is held: demand is uneven.
+	// outageMargin times the outage's length is held, since demand is uneven.
 	outageMargin = 1.5
-	// mostAhead times the setting is the most that is held.
-	mostAhead = 2
+	// maxAheadFactor times Config.Ahead is the maximum.
+	maxAheadFactor = 2
 )
 
-// ErrAway means that the ledger did not answer the last write; a tick finds out
-// when it does again, and until then requests do not wait for it.
-var ErrAway = errors.New("ledger does not answer")
+// ErrUnavailable means that the ledger did not answer the last write. Ticks probe it, and until it
+// answers again, requests do not wait for it.
+var ErrUnavailable = errors.New("ledger does not answer")
 
-// ErrBusy means that other instances' writes were always before this one's: the
-// ledger answers, and another try may succeed.
-var ErrBusy = errors.New("ledger is written by others all the time")
+// ErrBusy means that writes of other instances always took precedence. The ledger answers, and
+// another attempt may succeed.
+var ErrBusy = errors.New("ledger is busy with writes of other instances")
 
-// DrawnElsewhereError means that another instance draws a shard, which is to be asked.
+// DrawnElsewhereError means that another instance, which should be asked, draws a shard.
 type DrawnElsewhereError struct {
 	Shard  int
 	Drawer string
@@ -40,266 +40,267 @@
 	return fmt.Sprintf("ledger shard %d is drawn by %s", e.Shard, e.Drawer)
 }
 
-// startOf is where this instance's first try to write to a shard found it: a row that
-// a try has left there has a later turn.
-func (n *Node) startOf(shard int, s *Shard) Start {
+// startFor returns the shard's state at this instance's first attempt to write it. A row that an
+// attempt has written has a later turn.
+func (n *Node) startFor(shard int, s *Shard) Start {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	state := &n.shards[shard]
-	if !state.tried {
-		state.tried, state.start = true, Start{Era: s.Era, Turn: s.Turn}
+	if !state.startKnown {
+		state.startKnown, state.start = true, Start{Era: s.Era, Turn: s.Turn}
 	}
 	return state.start
 }
 
-// shardState is an instance's side of one shard. Writes come one at a time, each
-// conditional on the state it was computed on; so once a later one has taken
-// effect an earlier one, whose answer was lost, never can any more.
+// shardState is an instance's state for one shard. Its writes are made one at a time, each
+// conditional on the state it was computed from. So once a later write has taken effect, an earlier
+// one whose answer was lost no longer can.
 type shardState struct {
-	flight *flight
-	away   bool
-	// tried says that a write was tried, start where it found the shard.
-	tried bool
-	start Start
-	// recovery is this instance's part in settling the shard after the store went back.
+	pendingWrite *pendingWrite
+	unavailable  bool
+	// startKnown says that a write was attempted, start is the shard's state at the first attempt.
+	startKnown bool
+	start      Start
+	// recovery is this instance's part in settling the shard after a store rollback.
 	recovery recovery
-	// reporting says that a report to the drawer is on its way.
+	// reporting says that a report to the drawer is in progress.
 	reporting bool
-	// askers are the instances that have this one draw for them, drawnFor how many
-	// there are, this one included.
-	askers   map[string]*asker
-	drawnFor int
-	// drawer is the name of the instance that draws, as the ledger or another instance told.
+	// requesters are the instances that this one draws for, by incarnation. numServed is the number
+	// of those that reported lately, plus this one.
+	requesters map[string]*requester
+	numServed  int
+	// drawer is the name of the instance that draws, according to the ledger or another instance.
 	drawer string
-	// meeting is the name of one that was found in the ledger and not known, metSince when.
-	meeting  string
-	metSince time.Time
-	// strangerAt is when an instance that is no candidate may write for a request.
-	strangerAt time.Time
-	// awaySince is when it was first found away.
-	awaySince time.Time
+	// discovering is the name of an unknown drawer named in the ledger, discoveringSince the start
+	// of its discovery.
+	discovering      string
+	discoveringSince time.Time
+	// nextNonCandidateWrite is the time from which this instance, if it is not a candidate, may
+	// write for a request.
+	nextNonCandidateWrite time.Time
+	// unavailableSince is when the ledger was first found unavailable.
+	unavailableSince time.Time
 }
 
-// flight is a write on its way, which any number of requests wait for.
-type flight struct {
-	done  chan struct{}
-	err   error
-	began time.Time
+// pendingWrite is a write in progress, which any number of requests wait for.
+type pendingWrite struct {
+	done      chan struct{}
+	err       error
+	startedAt time.Time
 }
 
-// ledgerPatience is how long a request waits for a write: the store answers in a
-// few milliseconds, a slow one in a few hundred. One that has not answered by then
-// may not answer at all, and peers are asked while there is time.
-const ledgerPatience = 200 * time.Millisecond
+// maxWriteWait is how long a request waits for a write. The store normally answers in a few
+// milliseconds, a slow one in a few hundred. One that has not answered by then may not answer at
+// all, and peers are asked while there is time.
+const maxWriteWait = 200 * time.Millisecond
 
-// drawTries bounds the writes for one request. Requests that come while a write is on
-// its way may take what it brings before the one that it was for; a second write takes
-// the needs of all that wait then.
-const drawTries = 4
+// maxDrawWrites bounds the writes for one request. Requests that arrive during a write may take the
+// tokens drawn for the request that started it; a second write covers the needs of all requests
+// that wait then.
+const maxDrawWrites = 4
 
-// withdraw takes need tokens out of what is free, drawing them from the ledger with
-// what other requests wait for and some ahead. They are taken before the lock is let
-// go, or others that woke with this one would take them. It reports false without an
-// error if the ledger answered and has too few.
+// withdraw takes need tokens out of the free ones, and draws them from the ledger together with the
+// needs of other waiting requests and some tokens ahead. It takes them before it unlocks n.mu,
+// since other requests woken by the same write would take them otherwise. It returns false without
+// an error if the ledger answered and has too few.
 func (n *Node) withdraw(ctx context.Context, budget string, need int64) (bool, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	shard := n.ShardOf(budget)
-	p := n.purse(budget)
+	p := n.position(budget)
 	p.waiting += need
 	defer func() { p.waiting -= need }()
-	for writes := 0; !p.remove(need); {
-		if writes == drawTries || (writes > 0 && p.tooFew(need)) || n.justSeenShort(p, shard, need) {
+	for writes := 0; !p.take(need); {
+		if writes == maxDrawWrites || (writes > 0 && p.exceedsLedger(need)) || n.recentlyTooFew(p, shard, need) {
 			return false, nil
 		}
 		state := &n.shards[shard]
-		late := state.flight != nil && n.Now().Sub(state.flight.began) >= ledgerPatience
-		if late || (state.away && state.flight == nil) {
-			return false, ErrAway
+		late := state.pendingWrite != nil && n.Now().Sub(state.pendingWrite.startedAt) >= maxWriteWait
+		if late || (state.unavailable && state.pendingWrite == nil) {
+			return false, ErrUnavailable
 		}
-		if state.flight == nil && n.justUnsettled(shard) {
+		if state.pendingWrite == nil && n.recentlyUnsettled(shard) {
 			return false, ErrUnsettled
 		}
-		if state.flight == nil {
-			n.begin(shard, budget, need)
+		if state.pendingWrite == nil {
+			n.startWrite(shard, budget, need)
 			writes++
 		}
-		if err := n.await(ctx, state.flight); err != nil {
+		if err := n.await(ctx, state.pendingWrite); err != nil {
 			return false, err
 		}
 	}
 	return true, nil
 }
 
-// seenPause is how long a drawer takes the ledger's word that a budget has too few for a
-// need: what askers give back comes with their reports, twice a second, and a write for
-// each request would keep the ledger busy.
-const seenPause = 200 * time.Millisecond
+// drawerTooFewLifetime is how long a drawer relies on the ledger's last answer that a budget has too
+// few tokens for a need. Requesters return tokens with their reports, twice a second, and a write
+// for each request would keep the ledger busy.
+const drawerTooFewLifetime = 200 * time.Millisecond
 
-// justSeenShort reports that a drawer has seen a moment ago that the ledger has too few
-// for a need; n.mu is held.
-func (n *Node) justSeenShort(p *purse, shard int, need int64) bool {
-	return n.drawsForOthers(shard) && p.tooFew(need) && n.Now().Sub(p.seenAt) < seenPause
+// recentlyTooFew reports whether this drawer recently saw that the ledger has too few tokens for a
+// need; n.mu is held.
+func (n *Node) recentlyTooFew(p *position, shard int, need int64) bool {
+	return n.drawsForOthers(shard) && p.exceedsLedger(need) && n.Now().Sub(p.ledgerSeenAt) < drawerTooFewLifetime
 }
 
-// tooFew reports that the ledger, when it was last seen, had too few tokens for a need
-// beyond what is at hand.
-func (p *purse) tooFew(need int64) bool { return need-p.free > p.left }
+// exceedsLedger reports whether a need exceeds the free tokens plus what the ledger had when it was
+// last seen.
+func (p *position) exceedsLedger(need int64) bool { return need-p.free > p.ledgerFree }
 
-// await waits for a flight; n.mu is held and let go meanwhile.
-func (n *Node) await(ctx context.Context, f *flight) error {
+// await waits for a write; n.mu is held, and unlocked during the wait.
+func (n *Node) await(ctx context.Context, f *pendingWrite) error {
 	n.mu.Unlock()
 	defer n.mu.Lock()
-	patience := time.NewTimer(ledgerPatience)
-	defer patience.Stop()
+	timer := time.NewTimer(maxWriteWait)
+	defer timer.Stop()
 	select {
 	case <-f.done:
 		return f.err
-	case <-patience.C:
-		return ErrAway
+	case <-timer.C:
+		return ErrUnavailable
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// begin starts a write of a shard; n.mu is held and no write is on its way. need
-// is wanted whole of the budget named; others get what is free.
-func (n *Node) begin(shard int, budget string, need int64) {
-	f := &flight{done: make(chan struct{}), began: n.Now()}
-	n.shards[shard].flight = f
-	wishes := n.wishes(shard, budget, need)
+// startWrite starts a write of a shard; n.mu is held and no write of it is in progress. need is
+// drawn whole from the budget named; for other budgets what is free is drawn.
+func (n *Node) startWrite(shard int, budget string, need int64) {
+	f := &pendingWrite{done: make(chan struct{}), startedAt: n.Now()}
+	n.shards[shard].pendingWrite = f
+	transfers := n.transfers(shard, budget, need)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 		defer cancel()
-		f.err = n.write(ctx, shard, wishes)
+		f.err = n.write(ctx, shard, transfers)
 		n.mu.Lock()
-		n.shards[shard].flight = nil
-		n.noteAway(shard, f.err != nil && !answered(f.err))
-		if f.err == nil || errors.Is(f.err, errUnsettledYet) {
-			// After any other write the next tick tries again: what kept that one from
-			// settling the object would keep the next one too.
-			n.settleNow(shard)
+		n.shards[shard].pendingWrite = nil
+		n.setUnavailable(shard, f.err != nil && !ledgerAnswered(f.err))
+		if f.err == nil || errors.Is(f.err, errStillUnsettled) {
+			// After any other failure the next tick tries again, since the cause of the failure
+			// would also stop an immediate write from settling the object.
+			n.settleIfAllReported(shard)
 		}
 		n.mu.Unlock()
 		close(f.done)
 	}()
 }
 
-// answered reports whether a failed write was answered by the ledger.
-func answered(err error) bool {
+// ledgerAnswered reports whether a failed write was answered by the ledger.
+func ledgerAnswered(err error) bool {
 	var elsewhere *DrawnElsewhereError
 	return errors.Is(err, ErrBusy) || errors.As(err, &elsewhere)
 }
 
-// noteAway notes whether a ledger answers. An instance that has been without it
-// holds more from then on: what cut it off once may do so again, and a longer
-// outage than the usual one is where requests were refused.
-func (n *Node) noteAway(shard int, away bool) {
+// setUnavailable records whether the ledger answers. An instance that was without it holds more
+// tokens afterwards: the cause of the outage may come back, and requests were refused in outages
+// longer than the usual one.
+func (n *Node) setUnavailable(shard int, away bool) {
 	state := &n.shards[shard]
 	now := n.Now()
-	if away && !state.away {
-		state.awaySince = now
+	if away && !state.unavailable {
+		state.unavailableSince = now
 	}
-	if !away && state.away {
-		lasted := time.Duration(outageMargin * float64(now.Sub(state.awaySince)))
-		n.ahead = min(max(n.ahead, lasted), mostAhead*n.Ahead)
+	if !away && state.unavailable {
+		lasted := time.Duration(outageMargin * float64(now.Sub(state.unavailableSince)))
+		n.ahead = min(max(n.ahead, lasted), maxAheadFactor*n.Ahead)
 	}
-	state.away = away
+	state.unavailable = away
 }
 
-// wishes gathers what is wanted of every budget of a shard; n.mu is held.
-func (n *Node) wishes(shard int, budget string, need int64) map[string]Wish {
-	out := map[string]Wish{}
-	for id, p := range n.purses {
+// transfers collects the transfer of each budget of a shard; n.mu is held.
+func (n *Node) transfers(shard int, budget string, need int64) map[string]Transfer {
+	out := map[string]Transfer{}
+	for id, p := range n.positions {
 		if n.ShardOf(id) != shard {
 			continue
 		}
-		target := n.targetOf(p, shard)
+		target := n.targetFor(p, shard)
 		p.owed = 0
-		wish := Wish{
+		transfer := Transfer{
 			Known:    p.counter,
 			Returned: p.counter.Returned,
 			More:     max(p.waiting-p.free, 0),
-			// As much again as is waited for is wanted for those that come while the
-			// write is on its way.
-			Ahead:     max(target-p.free, p.waiting),
-			AheadPart: aheadPart,
+			// As much again as requests are waiting for is drawn for those that arrive during the
+			// write.
+			Ahead:        max(target-p.free, p.waiting),
+			AheadDivisor: aheadDivisor,
 		}
 		if id == budget {
-			wish.Need = max(need-p.free, 0)
-			wish.More = max(wish.More-wish.Need, 0)
+			transfer.Need = max(need-p.free, 0)
+			transfer.More = max(transfer.More-transfer.Need, 0)
 		}
-		if n.stopping || p.dry {
-			wish.Ahead = 0
+		if n.stopping || p.depleted {
+			transfer.Ahead = 0
 		}
-		out[id] = wish
+		out[id] = transfer
 	}
 	return out
 }
 
-// write carries wishes out by one conditional write. A failure needs no mending
-// here: what was returned is counted again by the next write, and what a write of
-// unknown fate drew is found by it.
-func (n *Node) write(ctx context.Context, shard int, wishes map[string]Wish) error {
-	holder := n.holder(shard)
+// write applies transfers by one conditional write. A failure needs no handling here: the next
+// write includes what was returned again, and finds what a write of unknown outcome drew.
+func (n *Node) write(ctx context.Context, shard int, transfers map[string]Transfer) error {
+	holder := n.holderState(shard)
 	var after *Shard
 	var recovered Recovered
-	err := n.Ledger.Update(ctx, shard, n.triesFor(shard), func(s *Shard) error {
-		if err := n.takeDrawing(shard, s); err != nil {
+	err := n.Ledger.Update(ctx, shard, n.maxTries(shard), func(s *Shard) error {
+		if err := n.claimDrawer(shard, s); err != nil {
 			return err
 		}
 		s.SetPrepaid(n.Amounts(shard))
-		recovered = n.recover(shard, s)
-		s.Apply(n.Self, n.startOf(shard, s), wishes)
-		s.SetHolder(n.Name, holder.withDrawn(s.Writers[n.Self], wishes))
+		recovered = n.mergeRecovery(shard, s)
+		s.Apply(n.Self, n.startFor(shard, s), transfers)
+		s.SetHolder(n.Name, holder.withDrawn(s.Writers[n.Self], transfers))
 		after = s
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	seen := n.haveWitnessed(ctx, shard, after)
-	if !n.adopt(shard, after, seen == nil) {
-		return errPassedOver // what it drew is found in the ledger later, if it is there
+	witnessErr := n.ensureWitnessed(ctx, shard, after)
+	if !n.applyWrite(shard, after, witnessErr == nil) {
+		return errOldEra // if the draw is in the ledger, a later write finds it
 	}
 	if recovered.Tokens > 0 || recovered.Settled {
 		n.Observer.Recovered(recovered)
 	}
 	if after.Unsettled {
-		return errUnsettledYet
+		return errStillUnsettled
 	}
-	return seen
+	return witnessErr
 }
 
-// Writes after which the shard cannot be drawn from.
+// Errors of writes after which the shard cannot be drawn from.
 var (
-	// errUnsettledYet means that the object waits for what others have seen.
-	errUnsettledYet = fmt.Errorf("others have not told yet: %w", ErrUnsettled)
-	// errPassedOver means that the object is of an era that this instance takes for over.
-	errPassedOver = fmt.Errorf("an older era's object was passed over: %w", ErrUnsettled)
+	// errStillUnsettled means that the object waits for other instances' reports.
+	errStillUnsettled = fmt.Errorf("not all instances have reported yet: %w", ErrUnsettled)
+	// errOldEra means that the object is of an era that this instance considers over.
+	errOldEra = fmt.Errorf("ledger object of an older era was rejected: %w", ErrUnsettled)
 )
 
-// Tries of one write against other instances' writes.
+// Maximum attempts of one write against conflicting writes of other instances.
 const (
-	// writerTries is for one that is among the few that write to a shard.
-	writerTries = 12
-	// strangerWriteTries is for one that is not, in a large fleet: all of the others
-	// may be trying too, and each try keeps the drawers from theirs.
-	strangerWriteTries = 2
+	// candidateTries is for an instance that is one of the few that write to a shard.
+	candidateTries = 12
+	// nonCandidateTries is for any other instance, in a large fleet: all of the others may be
+	// trying too, and each attempt delays the drawers' writes.
+	nonCandidateTries = 2
 )
 
-func (n *Node) triesFor(shard int) int {
-	if n.isStranger(shard) && !n.stops() {
-		return strangerWriteTries
+func (n *Node) maxTries(shard int) int {
+	if n.isNonCandidate(shard) && !n.isStopping() {
+		return nonCandidateTries
 	}
-	return writerTries // one that stops loses what it cannot give back
+	return candidateTries // a stopping instance loses what it cannot return
 }
 
-// isStranger reports that others draw a shard for this instance. One that does
-// not know the others yet counts as such: after a power loss of all 73 instances of a
-// large fleet each took itself for one of a few, and their tries kept the store too busy
-// to tell them of each other.
-func (n *Node) isStranger(shard int) bool {
+// isNonCandidate reports whether other instances draw a shard for this one. An instance that does
+// not know the others yet counts as such: after a power loss of all 73 instances of a large fleet,
+// each considered itself one of a few, and their attempts kept the store too busy to tell them of
+// each other.
+func (n *Node) isNonCandidate(shard int) bool {
 	if !n.Fleet.Joined() {
 		return true
 	}
@@ -307,73 +308,73 @@
 	return len(candidates) > 0 && !slices.Contains(candidates, n.Self)
 }
 
-// adopt takes over what a write left in the ledger; what it drew only if another instance has seen
-// that, else the next write finds it. It reports false for the object of an era that is over: others
-// have been told already what this instance had drawn until then.
-func (n *Node) adopt(shard int, after *Shard, seen bool) bool {
+// applyWrite applies what a write left in the ledger. What it drew is applied only if the draw is
+// witnessed; otherwise the next write finds it. It returns false for the object of a past era,
+// because this instance may already have reported what it had drawn until then.
+func (n *Node) applyWrite(shard int, after *Shard, witnessed bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if max(after.Era, firstEra) < n.floor {
+	if max(after.Era, firstEra) < n.minEra {
 		return false
 	}
-	n.adoptRecovery(shard, after)
+	n.applyRecovery(shard, after)
 	for id, counter := range after.Writers[n.Self].Counters {
-		if !seen {
-			counter.Drawn = n.purse(id).counter.Drawn
+		if !witnessed {
+			counter.Drawn = n.position(id).counter.Drawn
 		}
-		n.adoptOne(shard, id, counter, after)
+		n.applyBudget(shard, id, counter, after)
 	}
 	return true
 }
 
-// withDrawn is how the instance stands once it has taken over what a write drew.
-func (h Holder) withDrawn(row Writer, wishes map[string]Wish) Holder {
+// withDrawn returns the holder state after the instance has applied what a write drew.
+func (h Holder) withDrawn(row Writer, transfers map[string]Transfer) Holder {
 	held := maps.Clone(h.Held)
-	for id, wish := range wishes {
-		if drawn := row.Counters[id].Drawn - wish.Known.Drawn; drawn > 0 {
+	for id, transfer := range transfers {
+		if drawn := row.Counters[id].Drawn - transfer.Known.Drawn; drawn > 0 {
 			held[id] += drawn
 		}
 	}
 	return Holder{PerSecond: h.PerSecond, Held: held}
 }
 
-func (n *Node) adoptOne(shard int, id string, counter Counter, after *Shard) {
-	p := n.purse(id)
-	drawn, returned := p.adopt(counter)
-	p.note(after.Budgets[id].Prepaid, after.Free(id), int(n.sharers(shard)), n.Now())
-	p.elsewherePerSecond, p.heldElsewhere = after.holdersElsewhere(n.Name, id, n.Fleet.Counts)
+func (n *Node) applyBudget(shard int, id string, counter Counter, after *Shard) {
+	p := n.position(id)
+	drawn, returned := p.applyCounter(counter)
+	p.recordLedger(after.Budgets[id].Prepaid, after.Free(id), int(n.numSharers(shard)), n.Now())
+	p.elsewherePerSecond, p.heldElsewhere = after.demandElsewhere(n.Name, id, n.Fleet.Counts)
 	if drawn == 0 && returned == 0 {
 		return
 	}
 	n.Observer.Moved(Movement{
-		Budget: id, Drawn: drawn, Returned: returned, Left: p.left,
-		Free: p.free, Reserved: p.reserved, Target: n.targetOf(p, shard), HeldElsewhere: p.heldElsewhere,
+		Budget: id, Drawn: drawn, Returned: returned, Left: p.ledgerFree,
+		Free: p.free, Reserved: p.reserved, Target: n.targetFor(p, shard), HeldElsewhere: p.heldElsewhere,
 		PerSecond: int64(p.perSecond), ElsewherePerSecond: int64(p.elsewherePerSecond),
 	})
 }
 
-// holder tells how this instance stands with those that it draws a shard for.
-func (n *Node) holder(shard int) Holder {
+// holderState returns the state of this instance and those that it draws a shard for.
+func (n *Node) holderState(shard int) Holder {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := Holder{PerSecond: map[string]int64{}, Held: map[string]int64{}}
-	for id, p := range n.purses {
+	for id, p := range n.positions {
 		if n.ShardOf(id) != shard {
 			continue
 		}
-		if p.drawnPerSecond >= 1 {
-			h.PerSecond[id] = int64(p.drawnPerSecond)
+		if p.servedPerSecond >= 1 {
+			h.PerSecond[id] = int64(p.servedPerSecond)
 		}
-		if held := p.free + p.heldByAskers; held > 0 {
+		if held := p.free + p.heldByRequesters; held > 0 {
 			h.Held[id] = held
 		}
 	}
 	return h
 }
 
-// sharers is among how many what is free is shared: the regions if one instance draws
-// for each, otherwise all instances; n.mu is held.
-func (n *Node) sharers(shard int) int64 {
+// numSharers returns how many share the free tokens: the regions if one instance draws for each,
+// otherwise all instances; n.mu is held.
+func (n *Node) numSharers(shard int) int64 {
 	if n.drawsForOthers(shard) {
 		return int64(max(len(n.Fleet.OtherDrawers(shard))+1, 1))
 	}
