--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -51,14 +51,14 @@
 try answer-id pkg/upstream/stream.go 's/s\.resp\.Header\.Get\(chat\.HeaderRequestID\) != s\.id/false/; s/out\.Response\.ID != s\.id/false/' test TestCrossedAnswerNeverReachesTheCaller
 try drain-waits pkg/entry/entry.go 's/\t\te\.running\.Wait\(\)\n//' test TestPlannedStopCutsNothing
 try replaced-drawer-declines pkg/prepaid/drawer.go 's/if req\.Drawer != n\.Self \{/if false {/' pkg/prepaid TestReplacedDrawerDeclines
-try exhausted-only-if-too-few pkg/prepaid/write.go 's/\(writes > 0 && p\.tooFew\(need\)\)/writes > 0/; s/max\(target-p\.free, p\.waiting\)/target*0/; s/max\(p\.waiting-p\.free, 0\)/0/' pkg/prepaid TestTokensTakenByOthersAreNotExhaustion
+try exhausted-only-if-too-few pkg/prepaid/write.go 's/\(writes > 0 && p\.exceedsLedger\(need\)\)/writes > 0/; s/max\(target-p\.free, p\.waiting\)/target*0/; s/max\(p\.waiting-p\.free, 0\)/0/' pkg/prepaid TestTokensTakenByOthersAreNotExhaustion
 try strangers-try-little pkg/prepaid/write.go 's/if !n\.Fleet\.Joined\(\) \{/if false {/' pkg/prepaid TestFleetThatStartsUnderLoadLeavesTheStoreAlone
-try unknown-totals-given-up pkg/prepaid/drawer.go 's/&askerBudget\{returned: d\.Returned\}/&askerBudget{}/' pkg/prepaid TestForgottenTotalsAreGivenUp
+try unknown-totals-given-up pkg/prepaid/drawer.go 's/&requesterBudget\{returned: d\.Returned\}/&requesterBudget{}/' pkg/prepaid TestForgottenTotalsAreGivenUp
 try never-written-is-not-forgotten pkg/prepaid/shard.go 's/ && s\.Forgotten > since//' pkg/prepaid TestStoppingAskersLoseNothing
-try declined-is-free-again pkg/prepaid/refill.go 's/n\.purse\(id\)\.free \+= d\.returned\[id\] - d\.confirmed\[id\]//' pkg/prepaid TestDeclinedReportsLoseNothing
+try declined-is-free-again pkg/prepaid/refill.go 's/n\.position\(id\)\.free \+= d\.returned\[id\] - d\.confirmed\[id\]//' pkg/prepaid TestDeclinedReportsLoseNothing
 try doubtful-stays-returned pkg/prepaid/refill.go 's/d\.confirmed\[id\] = sent\.Returned \/\//\/\//' pkg/prepaid TestDoubtfulReturnIsNotFreeAgain
-try resting-ends-with-the-outage pkg/prepaid/refill.go 's/d\.rest, d\.restUntil = 0, time\.Time\{\}/_ = d/' pkg/prepaid TestDrawersAreAskedAgainOnceTheStoreIsBack
-try a-third-is-held pkg/prepaid/tick.go 's/heldPart = 3/heldPart = 5/' pkg/prepaid TestAccountThatLastsOutlastsACut
+try resting-ends-with-the-outage pkg/prepaid/refill.go 's/d\.backoff, d\.avoidedUntil = 0, time\.Time\{\}/_ = d/' pkg/prepaid TestDrawersAreAskedAgainOnceTheStoreIsBack
+try a-third-is-held pkg/prepaid/tick.go 's/holdDivisor = 3/holdDivisor = 5/' pkg/prepaid TestAccountThatLastsOutlastsACut
 try restarted-is-another pkg/placement/pool.go 's/ \|\| s\.Born != u\.Born//' pkg/placement TestRestartedUpstreamBeginsWithNothing
 try kept-views-follow-the-entries pkg/member/state.go 's/\t\tt\.views = views\{\}\n//' pkg/member TestKeptViewsAreThoseOfTheEntries
 try others-take-publishing-over pkg/follow/publisher.go 's/const publishers = 20/const publishers = 3/' pkg/follow TestStoreThatRefusesItsReadersIsReadByAnother
@@ -84,17 +84,17 @@
 try suspicion-is-refuted pkg/member/state.go 's/m\.State != memberpb\.State_ALIVE && m\.Revision >= t\.self\.Revision/false/' pkg/member TestTablesAreWholeAfterACutOfADomain
 try cut-off-accuses-nobody pkg/member/prober.go 's/case evidence\.Answered > 0 \|\| /case true || /' pkg/member TestCutOfAllMakesNobodySilent
 try drawer-is-named pkg/prepaid/named.go 's/if name == "" \|\| name == n\.Name \{/if true {/' pkg/prepaid TestOneDomainStepsInForAll
-try unknown-drawer-is-met pkg/prepaid/named.go 's/ \|\| n\.meets\(shard, s\.Drawer\)//' pkg/prepaid TestDrawersThatDoNotKnowEachOtherGiveWay
+try unknown-drawer-is-met pkg/prepaid/named.go 's/ \|\| n\.isDiscovering\(shard, s\.Drawer\)//' pkg/prepaid TestDrawersThatDoNotKnowEachOtherGiveWay
 try joining-do-not-draw pkg/prepaid/drawer.go 's/if !n\.Fleet\.Joined\(\) \{/if false {/' pkg/prepaid TestCollisionsEndAfterAStartOfAll
-try lost-draws-are-brought-back pkg/prepaid/shard.go 's/if lost := wish\.Known\.Drawn - counter\.Drawn; lost > 0 \{/if lost := int64(0); lost > 0 {/' pkg/prepaid TestNeverMoreThanPrepaidWhenTheStoreGoesBack
+try lost-draws-are-brought-back pkg/prepaid/shard.go 's/if lost := transfer\.Known\.Drawn - counter\.Drawn; lost > 0 \{/if lost := int64(0); lost > 0 {/' pkg/prepaid TestNeverMoreThanPrepaidWhenTheStoreGoesBack
 try unsettled-draws-nothing pkg/prepaid/shard.go 's/if s\.Unsettled \{\n\t\treturn counter/if false {\n\t\treturn counter/' pkg/prepaid TestNeverMoreThanPrepaidWhenTheStoreGoesBack
-try all-are-waited-for pkg/prepaid/recovery.go 's/if waited && n\.allTold\(s\.Told\) \{/if waited {/' pkg/prepaid TestNeverMoreThanPrepaidWhenTheStoreGoesBack
-try told-is-for-one-era pkg/prepaid/recovery.go 's/r\.told, r\.mergedTold = nil, 0/r.mergedTold = 0/' pkg/prepaid TestWhoToldForAnEarlierEraTellsAgain
-try older-draws-are-not-taken-over pkg/prepaid/write.go 's/if max\(after\.Era, firstEra\) < n\.floor \{/if false {/' pkg/prepaid TestDrawOfAnEraThatIsOverIsNotTakenOver
+try all-are-waited-for pkg/prepaid/recovery.go 's/if waited && n\.allReported\(s\.Reported\) \{/if waited {/' pkg/prepaid TestNeverMoreThanPrepaidWhenTheStoreGoesBack
+try told-is-for-one-era pkg/prepaid/recovery.go 's/r\.reported, r\.numMergedReports = nil, 0/r.numMergedReports = 0/' pkg/prepaid TestWhoToldForAnEarlierEraTellsAgain
+try older-draws-are-not-taken-over pkg/prepaid/write.go 's/if max\(after\.Era, firstEra\) < n\.minEra \{/if false {/' pkg/prepaid TestDrawOfAnEraThatIsOverIsNotTakenOver
 try dealt-tokens-tell-their-draw pkg/prepaid/drawer.go 's/Drawn: p\.counter\.Drawn\}/Drawn: 0}/' pkg/prepaid TestAskersKnowTheDrawOfWhatTheyWereDealt
-try draws-are-witnessed pkg/prepaid/write.go 's/seen := n\.haveWitnessed\(ctx, shard, after\)/var seen error/' pkg/prepaid TestDrawOfAWriterThatDiesAtOnceIsNotSpentTwice
+try draws-are-witnessed pkg/prepaid/write.go 's/witnessErr := n\.ensureWitnessed\(ctx, shard, after\)/var witnessErr error/' pkg/prepaid TestDrawOfAWriterThatDiesAtOnceIsNotSpentTwice
 try witnessed-draws-are-told pkg/prepaid/recovery.go 's/append\(n\.witnessedRows\(shard\), stored/append([]seenRow(nil), stored/' pkg/prepaid TestDrawOfAWriterThatDiesAtOnceIsNotSpentTwice
-try told-of-an-era-that-is-over pkg/prepaid/witness.go 's/max\(req\.Era, firstEra\) < n\.floor \|\| //' pkg/prepaid TestDrawIsNotWitnessedOnceItsEraHasBeenTold
+try told-of-an-era-that-is-over pkg/prepaid/witness.go 's/max\(req\.Era, firstEra\) < n\.minEra \|\| //' pkg/prepaid TestDrawIsNotWitnessedOnceItsEraHasBeenTold
 try apart-groups-meet pkg/meeting/meeting.go 's/if !m\.IsRegistrar\(\) \{/if true {/' pkg/meeting TestHalvesFindEachOtherAfterALongCut
 try listed-are-asked-again pkg/meeting/meeting.go 's/vainTries = 3/vainTries = 0/' pkg/meeting TestInstancesThatStartTogetherAreOneFleet
 try leaving-stays-leaving pkg/registry/registry.go 's/u = r\.doubt\(u\)/_ = r.doubt/' pkg/registry TestLeavingStaysLeavingWhenTheStoreGoesBack
@@ -104,7 +104,7 @@
 try claims-are-brought-back pkg/claim/recovery.go 's/\t\t\ts\.Claims\[key\] = claim/\t\t\t_ = claim/' pkg/claim TestAtMostOneRequestOfAKeyRunsWhenTheStoreGoesBack
 try unsettled-keys-are-not-free pkg/claim/claimer.go 's/if s\.Unsettled && s\.Claims\[key\] == nil \{\n\t\t\treplace/if false {\n\t\t\treplace/' pkg/claim TestAtMostOneRequestOfAKeyRunsWhenTheStoreGoesBack
 try own-full-link-is-noticed pkg/overload/limit.go 's/\tcase slow:/\tcase slow \&\& false:/' pkg/overload TestOverloadedInstanceServesWhatItsLinkCarries
-try told-meanwhile-is-kept pkg/prepaid/recovery.go 's/told\.serial <= r\.mergedTo/told.serial >= 0/' pkg/prepaid TestWhatIsToldDuringAWriteIsNotLost
+try told-meanwhile-is-kept pkg/prepaid/recovery.go 's/reported\.serial <= r\.mergedSerial/reported.serial >= 0/' pkg/prepaid TestWhatIsToldDuringAWriteIsNotLost
 try an-end-counts-once pkg/follow/freshness.go 's/at\.Sub\(s\.returnedAt\) < sameOutage/at.Before(s.returnedAt)/' pkg/follow TestEndOfAnOutageCountsOnceAndAsOfItsTime
 try cut-off-alone-is-no-outage pkg/follow/follow.go 's/outage := !f\.ConfirmedLately\(\)/outage := true/' pkg/follow TestInstanceThatIsCutOffAloneHasNoOutage
 try documents-are-watched-shortly pkg/configsync/syncer.go 's/watchWait = 2 \* time/watchWait = 20 * time/' pkg/configsync TestLostWatchHidesNoDocument
@@ -131,7 +131,7 @@
 try leaving-is-no-crash pkg/registry/occupant.go 's/!before\.Leaving/true/' pkg/registry TestSupersededIncarnationsAreTold
 try accounts-share-repeats pkg/retrylimit/limit.go 's/used > 0 && float64/false && float64/' pkg/retrylimit TestOneAccountDoesNotTakeAllRepeats
 try lost-confirmations-are-sent-again pkg/follow/publisher.go 's/err != nil && news/err != nil && news && began.IsZero()/' pkg/follow TestChangeWhoseConfirmationIsLostIsToldAgain
-try passed-over-writes-pause pkg/prepaid/write.go 's/errors\.Is\(f\.err, errUnsettledYet\)/errors.Is(f.err, ErrUnsettled)/' pkg/prepaid TestLedgerOfAnEraTakenForOverIsNotWrittenWithoutAPause
+try passed-over-writes-pause pkg/prepaid/write.go 's/errors\.Is\(f\.err, errStillUnsettled\)/errors.Is(f.err, ErrUnsettled)/' pkg/prepaid TestLedgerOfAnEraTakenForOverIsNotWrittenWithoutAPause
 try emptied-domains-are-out pkg/registry/registry.go 's/ && !r\.emptied\.domains\[u\.Domain\]//' test TestEmptiedDomainGetsNothing
 try own-door-knows-emptied-domains pkg/dispatch/picker.go 's/ \|\| p\.emptied\[upstream\.Domain\]//' test TestOwnDoorSendsNothingToAnEmptiedDomain
 try emptied-stay-in-a-later-era pkg/registry/emptied.go 's/case crossed:/case crossed && e.held == nil:/' pkg/registry TestEmptiedDomainStaysOutWhenTheStoreGoesBack
