--- a/pkg/quarantine/bound.go
+++ b/pkg/quarantine/bound.go
@@ -6,28 +6,30 @@
 	"slices"
 )
 
-// Bounds of a table.
+// Bounds on the number of records in a table.
 const (
-	// mostRecords bounds the table, to some 3 MB.
-	mostRecords = 4096
-	// mostOfAccount bounds the records of one account, so that none crowds out another's.
-	mostOfAccount = 512
-	// evictedAtOnce is how many records make room together: looking for them reads all.
-	evictedAtOnce = 64
+	// maxRecords limits a table to about 3 MB.
+	maxRecords = 4096
+	// maxRecordsPerAccount keeps one account from displacing the records of the others.
+	maxRecordsPerAccount = 512
+	// evictionBatch is the number of records removed by one eviction. Finding candidates scans the
+	// whole table, so several are removed at a time.
+	evictionBatch = 64
 )
 
-// add makes room for a record and takes it in; nil if nothing may go for it. t.mu is held.
+// add inserts an empty entry for the request of record, evicting others if the table or the account
+// is full. It returns nil if no record may be evicted. t.mu must be held.
 func (t *Table) add(record *Record) *entry {
-	if t.accounts[record.Account] >= mostOfAccount {
+	if t.accounts[record.Account] >= maxRecordsPerAccount {
 		t.evict(func(e *entry) bool { return e.Account == record.Account })
 	}
-	if len(t.records) >= mostRecords {
+	if len(t.records) >= maxRecords {
 		t.evict(func(*entry) bool { return true })
 	}
-	if t.accounts[record.Account] >= mostOfAccount || len(t.records) >= mostRecords {
+	if t.accounts[record.Account] >= maxRecordsPerAccount || len(t.records) >= maxRecords {
 		return nil
 	}
-	e := &entry{crashed: map[string]bool{}, Record: Record{
+	e := &entry{crashedUpstreams: map[string]bool{}, Record: Record{
 		Fingerprint: record.Fingerprint,
 		Account:     record.Account,
 		Route:       record.Route,
@@ -38,8 +40,10 @@
 	return e
 }
 
-// evict drops the records that say least among those that match: clear ones, then the least and
-// longest suspected. Condemned ones stay: a caller that fills the table would free its requests.
+// evict removes up to evictionBatch matching records: those with the fewest consecutive crashes
+// first (clear records have none), and among these the one with the oldest last crash. Condemned
+// records are never evicted: otherwise a caller could free its requests by filling the table.
+// t.mu must be held.
 func (t *Table) evict(matches func(*entry) bool) {
 	candidates := slices.DeleteFunc(slices.Collect(maps.Values(t.records)), func(e *entry) bool {
 		return !matches(e) || e.IsCondemned()
@@ -48,17 +52,17 @@
 		return cmp.Or(cmp.Compare(a.InARow(), b.InARow()), a.LastCrash.Compare(b.LastCrash),
 			slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
-	for _, e := range candidates[:min(len(candidates), evictedAtOnce)] {
-		t.drop(e)
+	for _, e := range candidates[:min(len(candidates), evictionBatch)] {
+		t.remove(e)
 	}
 }
 
-func (t *Table) drop(e *entry) {
-	t.count(e.watched(), false)
+func (t *Table) remove(e *entry) {
+	t.countWatched(e.isWatched(), false)
 	e.endings = nil
-	t.index(e)
+	t.updateIndex(e)
 	delete(t.records, e.Fingerprint)
-	delete(t.news, e.Fingerprint)
+	delete(t.pending, e.Fingerprint)
 	if t.accounts[e.Account]--; t.accounts[e.Account] <= 0 {
 		delete(t.accounts, e.Account)
 	}
--- a/pkg/quarantine/conclude.go
+++ b/pkg/quarantine/conclude.go
@@ -7,66 +7,71 @@
 	"github.com/lavenderring/lavenderring/pkg/pause"
 )
 
-// Evidence is what the end of an attempt shows of the upstream.
+// Evidence is what the end of an attempt reveals about the upstream.
 type Evidence string
 
-// What an attempt's end may show.
+// Kinds of evidence.
 const (
-	// NoEvidence says nothing: the caller left, the time was over, or nothing was sent.
+	// NoEvidence means that nothing is known about the upstream: the caller disconnected, the
+	// deadline passed, or nothing was sent.
 	NoEvidence Evidence = "none"
-	// WholeAnswer clears the request.
+	// WholeAnswer means that the upstream sent its complete answer, which clears the request.
 	WholeAnswer Evidence = "answer"
-	// NoAnswer is an attempt that ended without a whole answer while the connection stood: only a
-	// process that is gone already has crashed.
+	// NoAnswer means that the attempt ended without a complete answer while the connection was
+	// still open. It counts as a crash only if the process is already gone.
 	NoAnswer Evidence = "no answer"
-	// ConnectionEnded is the upstream's end of the connection before its whole answer: its process
-	// may have crashed.
+	// ConnectionEnded means that the upstream closed or reset the connection before its answer was
+	// complete: its process may have crashed.
 	ConnectionEnded Evidence = "connection ended"
 )
 
-// Attempt is one sending of a request, as its end is judged.
+// Attempt describes one attempt to run a request at an upstream, and how it ended.
 type Attempt struct {
 	Origin   Origin
 	Upstream Upstream
 	Evidence Evidence
 }
 
-// Lookout tells whether nothing listens at an upstream's address any more. One that looks late, or at
-// an upstream that is back already, sees nothing; the next incarnation tells then.
-type Lookout func() (refuses bool)
+// ProbeFunc reports whether the upstream's address refuses connections, which means that its process
+// is gone. A probe that comes late, when the upstream has already restarted, does not notice the
+// crash; the next incarnation reveals it then.
+type ProbeFunc func() (refuses bool)
 
-// Conclusion is what followed from the end of an attempt.
+// Conclusion is the consequence of an attempt's end for the request.
 type Conclusion struct {
-	// Cleared says that the request was suspected and is not any more.
+	// Cleared reports that the request was suspected and no longer is.
 	Cleared bool
-	// Crash is what is known of the request after a crash; nil if none is known.
+	// Crash is the request's record after a crash; nil if no crash was detected.
 	Crash *Record
 }
 
-// Conclude notes how a run ended. It is called once, in place of the run's other methods.
-func (r Run) Conclude(ctx context.Context, attempt Attempt, look Lookout, now func() time.Time) Conclusion {
+// Conclude records how a run ended, and probes the upstream if it may have crashed. It is called once,
+// instead of the run's other methods that end it.
+func (r Run) Conclude(ctx context.Context, attempt Attempt, probe ProbeFunc, now func() time.Time) Conclusion {
 	switch attempt.Evidence {
 	case WholeAnswer:
 		return Conclusion{Cleared: r.Answered()}
 	case ConnectionEnded:
 		at := now()
-		suspected := r.Broke(attempt.Origin, attempt.Upstream, at)
-		conclusion := r.look(ctx, attempt, look, at)
+		suspected := r.NoteConnectionEnd(attempt.Origin, attempt.Upstream, at)
+		conclusion := r.probe(ctx, attempt, probe, at)
 		if suspected && conclusion.Crash == nil {
-			pause.For(ctx, JudgeAfter) // the others hear of it before this instance repeats the request
+			// Lets the other instances receive the record before this one retries the request.
+			pause.For(ctx, JudgeAfter)
 		}
 		return conclusion
 	case NoAnswer:
-		return r.look(ctx, attempt, look, now())
+		return r.probe(ctx, attempt, probe, now())
 	default:
 		r.Ended()
 		return Conclusion{}
 	}
 }
 
-// look finds out whether the upstream's process is gone already.
-func (r Run) look(ctx context.Context, attempt Attempt, look Lookout, at time.Time) Conclusion {
-	if !look() {
+// probe checks whether the upstream's process is gone, and records a crash if so. Otherwise the run
+// ends without consequences.
+func (r Run) probe(ctx context.Context, attempt Attempt, probe ProbeFunc, at time.Time) Conclusion {
+	if !probe() {
 		r.Ended()
 		return Conclusion{}
 	}
--- a/pkg/quarantine/ending.go
+++ b/pkg/quarantine/ending.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Bounds of the endings that a record has.
+// Bounds on the endings of a record.
 const (
-	// mostEndings bounds those of one record; the latest ones stay.
-	mostEndings = 8
-	// endingHolds is for how long an ending is remembered. One that is undecided by then says
-	// nothing: an upstream that starts again does so within seconds.
-	endingHolds = 10 * time.Second
+	// maxEndings limits the endings of one record; those with the highest turns are kept.
+	maxEndings = 8
+	// endingLifetime is how long an ending is kept. Upstreams restart within seconds, so an ending
+	// that is still undecided after this time will not be decided.
+	endingLifetime = 10 * time.Second
 )
 
-// Upstream is one incarnation of an upstream.
+// Upstream identifies one incarnation of an upstream.
 type Upstream struct {
-	// ID names it for operators.
+	// ID is the name shown to operators.
 	ID string
-	// Address is its IP address and port, which later incarnations may have as well.
+	// Address is the IP address and port, which later incarnations may reuse.
 	Address string
-	// Incarnation tells it from the others at its address; empty if it is not known.
+	// Incarnation distinguishes the processes at one address; empty if unknown.
 	Incarnation string
 }
 
-// endingKey tells one ending of a request's connection from others.
+// endingKey identifies one ending: a connection that ended during a request.
 type endingKey struct {
-	// Turn is the ordinal of the ending: one more than those known when the run began, so that
-	// runs beside each other have the same.
+	// Turn is the ordinal of the ending: one more than the last one known when the run began, so
+	// that concurrent runs share the same turn.
 	Turn uint32
-	// Instance is the one whose connection ended.
+	// Instance is the instance whose connection ended.
 	Instance string
 	Upstream
 }
 
-// compare orders endings by their turns.
+// compare orders endings by turn, and by the other fields where the turn is equal.
 func (k endingKey) compare(other endingKey) int {
 	return cmp.Or(
 		cmp.Compare(k.Turn, other.Turn),
@@ -47,22 +47,23 @@
 	)
 }
 
-// ending is what is known of how an upstream's side of a connection ended before the whole answer
-// had come. It is undecided until it is a crash or refuted.
+// ending is what is known about an upstream that ended a connection before its answer was complete.
+// It is undecided until it is found to be a crash or refuted.
 type ending struct {
-	// At is when it was seen, by this instance's clock.
+	// At is when the ending was observed, by this instance's clock.
 	At time.Time
-	// Crash is the ordinal of the crash that it was; 0 while that is not known.
+	// Crash is the ordinal of the crash that ended the connection; 0 if none is known.
 	Crash uint32
-	// Refuted says that the process lived on.
+	// Refuted reports that the process survived, so it did not crash.
 	Refuted bool
-	// Alone says that it was a crash at a time when no other upstream crashed of an unknown cause.
-	Alone bool
+	// Isolated reports that it was a crash, and that no other upstream crashed at that time for an
+	// unknown cause.
+	Isolated bool
 }
 
-func (e ending) undecided() bool { return e.Crash == 0 && !e.Refuted }
+func (e ending) isUndecided() bool { return e.Crash == 0 && !e.Refuted }
 
-// mergeEndings takes the endings of another record in, and reports whether that was more.
+// mergeEndings merges the endings of another record, and reports whether that added knowledge.
 func (r *Record) mergeEndings(others map[endingKey]ending) (changed bool) {
 	if len(others) == 0 {
 		return false
@@ -79,24 +80,27 @@
 		}
 		present.Crash = max(present.Crash, other.Crash)
 		present.Refuted = present.Refuted || other.Refuted
-		present.Alone = present.Alone || other.Alone
+		present.Isolated = present.Isolated || other.Isolated
 		if other.At.Before(present.At) {
 			present.At = other.At
 		}
 		r.endings[key] = present
 	}
-	r.boundEndings()
-	return !sameKnowledge(before, r.endings)
+	r.trimEndings()
+	return !equalIgnoringTime(before, r.endings)
 }
 
-// sameKnowledge compares endings but for when they were seen: messages take their time.
-func sameKnowledge(a, b map[endingKey]ending) bool {
-	return maps.EqualFunc(a, b, func(x, y ending) bool { return x.Crash == y.Crash && x.Refuted == y.Refuted && x.Alone == y.Alone })
+// equalIgnoringTime compares endings except for their times, which differ between instances by the
+// latency of messages.
+func equalIgnoringTime(a, b map[endingKey]ending) bool {
+	return maps.EqualFunc(a, b, func(x, y ending) bool {
+		return x.Crash == y.Crash && x.Refuted == y.Refuted && x.Isolated == y.Isolated
+	})
 }
 
-// boundEndings drops the earliest endings beyond the bound.
-func (r *Record) boundEndings() {
-	for len(r.endings) > mostEndings {
+// trimEndings removes the endings with the lowest turns until maxEndings are left.
+func (r *Record) trimEndings() {
+	for len(r.endings) > maxEndings {
 		delete(r.endings, r.orderedEndings()[0])
 	}
 }
@@ -105,12 +109,12 @@
 	return slices.SortedFunc(maps.Keys(r.endings), endingKey.compare)
 }
 
-// forgetEndings drops the endings that say nothing any more.
-func (r *Record) forgetEndings(now time.Time) {
-	maps.DeleteFunc(r.endings, func(_ endingKey, e ending) bool { return now.Sub(e.At) > endingHolds })
+// expireEndings removes the endings older than endingLifetime.
+func (r *Record) expireEndings(now time.Time) {
+	maps.DeleteFunc(r.endings, func(_ endingKey, e ending) bool { return now.Sub(e.At) > endingLifetime })
 }
 
-// lastTurn is the ordinal of the last ending.
+// lastTurn returns the turn of the last ending.
 func (r *Record) lastTurn() uint32 {
 	var last uint32
 	for key := range r.endings {
@@ -119,30 +123,32 @@
 	return last
 }
 
-// settledTurn is the ordinal of the last ending from which nothing follows.
-func (r *Record) settledTurn() uint32 {
+// lastSettledTurn returns the turn of the last ending that no longer counts: a refuted one, or a crash
+// that was cleared.
+func (r *Record) lastSettledTurn() uint32 {
 	var last uint32
 	for key, e := range r.endings {
-		if !e.undecided() && e.Crash <= r.Cleared {
+		if !e.isUndecided() && e.Crash <= r.Cleared {
 			last = max(last, key.Turn)
 		}
 	}
 	return last
 }
 
-// Undecided is how many endings may still turn out to be crashes.
-func (r *Record) Undecided() uint32 {
+// NumUndecided returns the number of endings that may still turn out to be crashes.
+func (r *Record) NumUndecided() uint32 {
 	var undecided uint32
 	for _, e := range r.endings {
-		if e.undecided() {
+		if e.isUndecided() {
 			undecided++
 		}
 	}
 	return undecided
 }
 
-// crashOrdinal returns the ordinal of the crash that an ending was: that of other crashes in the same
-// turn, or of the same process, which crashes once; else the next one.
+// crashOrdinal returns the ordinal of a crash that ended a connection. Crashes in the same turn share
+// an ordinal, and so do endings by the same process, since a process crashes only once; any other crash
+// gets the next ordinal.
 func (r *Record) crashOrdinal(key endingKey) uint32 {
 	for other, e := range r.endings {
 		same := other.Turn == key.Turn || (other.Address == key.Address && other.Incarnation == key.Incarnation)
@@ -150,24 +156,24 @@
 			return e.Crash
 		}
 	}
-	return max(r.last(), r.Cleared) + 1
+	return max(r.lastCrashOrdinal(), r.Cleared) + 1
 }
 
-// aloneCrashes is how many crashes count that came alone.
-func (r *Record) aloneCrashes() uint32 {
+// numIsolatedCrashes returns how many of the crashes that still count were isolated.
+func (r *Record) numIsolatedCrashes() uint32 {
 	ordinals := map[uint32]bool{}
 	for _, e := range r.endings {
-		if e.Alone && e.Crash > r.Cleared {
+		if e.Isolated && e.Crash > r.Cleared {
 			ordinals[e.Crash] = true
 		}
 	}
-	return max(r.Alone-min(r.Alone, r.Cleared), uint32(len(ordinals)))
+	return max(r.Isolated-min(r.Isolated, r.Cleared), uint32(len(ordinals)))
 }
 
-// refuteAll notes that no undecided ending was a crash, and reports whether there were any.
-func (r *Record) refuteAll() (changed bool) {
+// refuteUndecided marks all undecided endings as refuted, and reports whether there were any.
+func (r *Record) refuteUndecided() (changed bool) {
 	for key, e := range r.endings {
-		if e.undecided() {
+		if e.isUndecided() {
 			e.Refuted = true
 			r.endings[key] = e
 			changed = true
--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -16,55 +16,57 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine/quarantinepb"
 )
 
-// TestMain runs this package's tests on one processor: hundreds of goroutines in one bubble of
-// virtual time crash the race detector of this Go version when they run on several.
+// TestMain runs this package's tests on one processor: with several, hundreds of goroutines in one
+// synctest bubble crash the race detector of this Go version.
 func TestMain(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
 }
 
-// Figures of a fleet in virtual time.
+// Parameters of a simulated fleet, in virtual time.
 const (
-	messageTime = 2 * time.Millisecond
-	// beatEvery is the pace of heartbeats, each to one other instance.
-	beatEvery = 200 * time.Millisecond
-	// crashAfter is how long an upstream runs a fatal request before it crashes, at most where
-	// looks tell nothing.
-	crashAfter = 200 * time.Millisecond
-	// sendEvery is the pace of the caller of a fatal request.
-	sendEvery = 200 * time.Millisecond
-	// seenWithin bounds the time until an instance sees an upstream's next incarnation.
-	seenWithin = 400 * time.Millisecond
-	// contact is for how long an instance has to be in touch before a bound holds for it.
-	contact = 3 * time.Second
+	messageLatency = 2 * time.Millisecond
+	// heartbeatInterval is the time between two heartbeats of an instance, each to one other.
+	heartbeatInterval = 200 * time.Millisecond
+	// maxRunTime is how long an upstream runs a fatal request before it crashes; if probes fail,
+	// this is the maximum.
+	maxRunTime = 200 * time.Millisecond
+	// sendInterval is the time between two requests of the caller of a fatal request.
+	sendInterval = 200 * time.Millisecond
+	// maxDetectionDelay limits the time until an instance observes an upstream's next incarnation.
+	maxDetectionDelay = 400 * time.Millisecond
+	// convergenceTimeout is how long an instance must have been in contact with the others before
+	// the bounds apply to it.
+	convergenceTimeout = 3 * time.Second
 )
 
-var errLost = errors.New("message lost")
+var errMessageLost = errors.New("message lost")
 
-// fleet is instances in virtual time whose messages may be lost.
+// fleet simulates instances in virtual time whose messages may be lost.
 type fleet struct {
 	ctx   context.Context
-	mu    sync.Mutex // guards all that follows
+	mu    sync.Mutex // guards the fields below
 	rng   *rand.Rand
 	nodes []*node
-	// lossOf is how many messages of a hundred are lost.
-	lossOf int
-	// cut, if not nil, says that messages between two instances are lost.
-	cut func(a, b int) bool
-	// blind says that looks at crashed upstreams tell nothing: only their next incarnations do.
-	blind bool
-	// crashed holds when upstreams crashed, by body.
-	crashed map[string][]time.Time
+	// lossPercent is the percentage of messages that are lost.
+	lossPercent int
+	// isPartitioned, if not nil, reports whether all messages between two instances are lost.
+	isPartitioned func(a, b int) bool
+	// probesFail makes probes of crashed upstreams detect nothing: only the next incarnations
+	// reveal the crashes.
+	probesFail bool
+	// crashTimes holds when upstreams crashed, by the body of the request.
+	crashTimes map[string][]time.Time
 }
 
 type node struct {
-	f        *fleet
+	fleet    *fleet
 	number   int
 	spreader *Spreader
 }
 
 func newFleet(ctx context.Context, size int, seed uint64) *fleet {
-	f := &fleet{ctx: ctx, rng: rand.New(rand.NewPCG(seed, 1)), crashed: map[string][]time.Time{}}
+	f := &fleet{ctx: ctx, rng: rand.New(rand.NewPCG(seed, 1)), crashTimes: map[string][]time.Time{}}
 	f.nodes = make([]*node, size)
 	for number := range size {
 		f.start(number)
@@ -72,87 +74,87 @@
 	return f
 }
 
-// start starts an instance with an empty table.
+// start starts or restarts an instance with an empty table.
 func (f *fleet) start(number int) *node {
-	n := &node{f: f, number: number}
+	n := &node{fleet: f, number: number}
 	n.spreader = NewSpreader(fmt.Sprint("i", number), n, time.Now, func([]Record) {}, func(string, error) {})
 	f.mu.Lock()
 	f.nodes[number] = n
 	f.mu.Unlock()
 	go n.spreader.Run(f.ctx)
-	go n.beat()
+	go n.sendHeartbeats()
 	return n
 }
 
-func (f *fleet) draw(below int) int {
+func (f *fleet) randomInt(below int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.IntN(below)
 }
 
-func (f *fleet) lost(a, b int) bool {
+func (f *fleet) isLost(a, b int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return (f.cut != nil && f.cut(a, b)) || f.rng.IntN(100) < f.lossOf
+	return (f.isPartitioned != nil && f.isPartitioned(a, b)) || f.rng.IntN(100) < f.lossPercent
 }
 
-// set changes how the fleet is.
-func (f *fleet) set(change func()) {
+// update applies a change to the fleet while holding f.mu.
+func (f *fleet) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-func (f *fleet) at(number int) *node {
+func (f *fleet) nodeAt(number int) *node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.nodes[number]
 }
 
 // Choose implements Peers.
-func (n *node) Choose(most int) (addresses []string, all bool) {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	for _, number := range n.f.rng.Perm(len(n.f.nodes)) {
-		if number != n.number && len(addresses) < most {
+func (n *node) Choose(limit int) (addresses []string, all bool) {
+	n.fleet.mu.Lock()
+	defer n.fleet.mu.Unlock()
+	for _, number := range n.fleet.rng.Perm(len(n.fleet.nodes)) {
+		if number != n.number && len(addresses) < limit {
 			addresses = append(addresses, fmt.Sprint(number))
 		}
 	}
-	return addresses, len(n.f.nodes)-1 <= most
+	return addresses, len(n.fleet.nodes)-1 <= limit
 }
 
 // Exchange implements Peers.
 func (n *node) Exchange(ctx context.Context, address string, m *quarantinepb.Records) (*quarantinepb.Records, error) {
 	var to int
 	_, _ = fmt.Sscan(address, &to)
-	if !pause.For(ctx, messageTime) || n.f.lost(n.number, to) {
-		return nil, errLost
+	if !pause.For(ctx, messageLatency) || n.fleet.isLost(n.number, to) {
+		return nil, errMessageLost
 	}
-	reply := n.f.at(to).spreader.Answer(m)
-	if !pause.For(ctx, messageTime) || n.f.lost(to, n.number) {
-		return nil, errLost
+	reply := n.fleet.nodeAt(to).spreader.HandleRecords(m)
+	if !pause.For(ctx, messageLatency) || n.fleet.isLost(to, n.number) {
+		return nil, errMessageLost
 	}
 	return reply, nil
 }
 
-// beat exchanges hashes with one other instance after the other.
-func (n *node) beat() {
-	for pause.For(n.f.ctx, beatEvery) && n.f.at(n.number) == n {
-		to := n.f.draw(len(n.f.nodes))
-		if to == n.number || n.f.lost(n.number, to) {
+// sendHeartbeats exchanges hashes with one random instance at a time, until the instance is restarted.
+func (n *node) sendHeartbeats() {
+	for pause.For(n.fleet.ctx, heartbeatInterval) && n.fleet.nodeAt(n.number) == n {
+		to := n.fleet.randomInt(len(n.fleet.nodes))
+		if to == n.number || n.fleet.isLost(n.number, to) {
 			continue
 		}
-		peer := n.f.at(to)
-		peer.spreader.Heard(fmt.Sprint(n.number), n.spreader.Table().Hash(), false)
-		if !n.f.lost(to, n.number) {
-			n.spreader.Heard(fmt.Sprint(to), peer.spreader.Table().Hash(), false)
+		peer := n.fleet.nodeAt(to)
+		peer.spreader.ReceiveHash(fmt.Sprint(n.number), n.spreader.Table().Hash(), false)
+		if !n.fleet.isLost(to, n.number) {
+			n.spreader.ReceiveHash(fmt.Sprint(to), peer.spreader.Table().Hash(), false)
 		}
 	}
 }
 
-// send sends a fatal request through an instance that repeats it once.
+// send sends a fatal request through an instance that retries it once.
 func (f *fleet) send(number int, body string) {
-	table := f.at(number).spreader.Table()
+	table := f.nodeAt(number).spreader.Table()
 	for range 2 {
 		run, err := table.Begin(bodyRequest(body), time.Now())
 		if err != nil {
@@ -160,15 +162,15 @@
 		}
 		time.Sleep(f.runTime())
 		f.mu.Lock()
-		f.crashed[body] = append(f.crashed[body], time.Now())
-		upstream := fmt.Sprint(body, len(f.crashed[body]))
-		blind := f.blind
+		f.crashTimes[body] = append(f.crashTimes[body], time.Now())
+		upstream := fmt.Sprint(body, len(f.crashTimes[body]))
+		blind := f.probesFail
 		f.mu.Unlock()
 		if blind {
-			f.endBlindly(run, upstreamNamed(upstream))
+			f.endUndetected(run, upstreamNamed(upstream))
 			continue
 		}
-		crash := run.Crashed(origin, upstreamNamed(upstream), time.Now())
+		crash := run.Crashed(testOrigin, upstreamNamed(upstream), time.Now())
 		if !crash.IsFirst() {
 			time.Sleep(JudgeAfter)
 		}
@@ -176,44 +178,44 @@
 	}
 }
 
-// runTime is how long an upstream runs a fatal request before it crashes.
+// runTime returns how long an upstream runs a fatal request before it crashes.
 func (f *fleet) runTime() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.blind {
-		return time.Duration(f.rng.Int64N(int64(crashAfter)))
+	if f.probesFail {
+		return time.Duration(f.rng.Int64N(int64(maxRunTime)))
 	}
-	return crashAfter
+	return maxRunTime
 }
 
-// endBlindly ends a run with a crash that only the upstream's next incarnation tells of, seen by any
-// instance.
-func (f *fleet) endBlindly(run Run, upstream Upstream) {
-	attempt := Attempt{Origin: origin, Upstream: upstream, Evidence: ConnectionEnded}
-	sees := f.at(f.draw(len(f.nodes)))
-	seenAfter := time.Millisecond * time.Duration(1+f.draw(int(seenWithin/time.Millisecond)))
-	time.AfterFunc(seenAfter, func() {
-		sees.spreader.Table().Ended(upstream.Address, upstream.Incarnation, time.Now())
+// endUndetected ends a run with a crash that only the upstream's next incarnation reveals. A random
+// instance observes that one.
+func (f *fleet) endUndetected(run Run, upstream Upstream) {
+	attempt := Attempt{Origin: testOrigin, Upstream: upstream, Evidence: ConnectionEnded}
+	observer := f.nodeAt(f.randomInt(len(f.nodes)))
+	detectionDelay := time.Millisecond * time.Duration(1+f.randomInt(int(maxDetectionDelay/time.Millisecond)))
+	time.AfterFunc(detectionDelay, func() {
+		observer.spreader.Table().Ended(upstream.Address, upstream.Incarnation, time.Now())
 	})
 	run.Conclude(f.ctx, attempt, func() bool { return false }, time.Now)
 }
 
-// sendAgainAndAgain sends a body at any instance for a time, whether the sendings before have ended
-// or not.
-func (f *fleet) sendAgainAndAgain(body string, every, lasts time.Duration) {
+// sendRepeatedly sends a body through random instances for a time, without waiting for earlier requests
+// to end.
+func (f *fleet) sendRepeatedly(body string, every, lasts time.Duration) {
 	for range int(lasts / every) {
-		go f.send(f.draw(len(f.nodes)), body)
+		go f.send(f.randomInt(len(f.nodes)), body)
 		time.Sleep(every)
 	}
 	time.Sleep(time.Second)
 }
 
-// crashesBy returns how many upstreams a body ended, and how many of them more than a time after
-// the third.
-func (f *fleet) crashesBy(body string, later time.Duration) (all, late int) {
+// countCrashes returns how many upstreams a body crashed, and how many of them later than a given time
+// after the third crash.
+func (f *fleet) countCrashes(body string, later time.Duration) (all, late int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	times := f.crashed[body]
+	times := f.crashTimes[body]
 	for _, at := range times {
 		if at.Sub(times[min(2, len(times)-1)]) > later {
 			late++
@@ -222,12 +224,12 @@
 	return len(times), late
 }
 
-func inFleet(t *testing.T, size int, seed uint64, test func(f *fleet)) {
+func testInFleet(t *testing.T, size int, seed uint64, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := newFleet(ctx, size, seed)
-		f.set(func() { f.lossOf = 1 })
+		f.update(func() { f.lossPercent = 1 })
 		time.Sleep(time.Second)
 		test(f)
 		cancel()
@@ -235,95 +237,95 @@
 	})
 }
 
-// Guards against a fleet whose instances each count the crashes of a request for themselves, with
-// one message of a hundred lost.
+// Guards against instances that each count the crashes of a request separately. One percent of the
+// messages is lost.
 func TestFewUpstreamsCrashUnderOneRequest(t *testing.T) {
 	for _, size := range []int{7, 63, 295} {
-		ended := map[int]int{}
+		fleetsByCrashes := map[int]int{}
 		for seed := range uint64(4) {
-			inFleet(t, size, seed, func(f *fleet) {
-				f.sendAgainAndAgain("fatal", sendEvery, 8*time.Second)
-				all, late := f.crashesBy("fatal", time.Second)
+			testInFleet(t, size, seed, func(f *fleet) {
+				f.sendRepeatedly("fatal", sendInterval, 8*time.Second)
+				all, late := f.countCrashes("fatal", time.Second)
 				if all > CondemnAtMost || late > 0 {
-					t.Errorf("%d instances, seed %d: %d upstreams ended, %d of them late", size, seed, all, late)
+					t.Errorf("%d instances, seed %d: %d upstreams crashed, %d of them late", size, seed, all, late)
 				}
-				ended[all]++
+				fleetsByCrashes[all]++
 				for number, n := range f.nodes {
 					if state := n.spreader.Table().StateOf(bodyRequest("fatal").Fingerprint()); state != Condemned {
-						t.Errorf("%d instances, seed %d: at instance %d it is %s", size, seed, number, state)
+						t.Errorf("%d instances, seed %d: state at instance %d is %s", size, seed, number, state)
 					}
 				}
 			})
 		}
-		t.Logf("%d instances: fleets by the number of upstreams that ended: %v", size, ended)
+		t.Logf("%d instances: fleets by the number of crashed upstreams: %v", size, fleetsByCrashes)
 	}
 }
 
-// Guards against crashes that are not counted where every look at the upstream comes late.
+// Guards against crashes that are not counted if every probe of the upstream comes too late.
 func TestFewUpstreamsCrashWhereLooksTellNothing(t *testing.T) {
 	for _, size := range []int{7, 63, 295} {
-		ended := map[int]int{}
+		fleetsByCrashes := map[int]int{}
 		for seed := range uint64(6) {
-			inFleet(t, size, seed, func(f *fleet) {
-				f.set(func() { f.blind = true })
-				f.sendAgainAndAgain("fatal", sendEvery, 8*time.Second)
-				all, late := f.crashesBy("fatal", contact)
+			testInFleet(t, size, seed, func(f *fleet) {
+				f.update(func() { f.probesFail = true })
+				f.sendRepeatedly("fatal", sendInterval, 8*time.Second)
+				all, late := f.countCrashes("fatal", convergenceTimeout)
 				if all > CondemnAtMost || late > 0 {
-					t.Errorf("%d instances, seed %d: %d upstreams ended, %d of them late", size, seed, all, late)
+					t.Errorf("%d instances, seed %d: %d upstreams crashed, %d of them late", size, seed, all, late)
 				}
-				ended[all]++
+				fleetsByCrashes[all]++
 			})
 		}
-		t.Logf("%d instances: fleets by the number of upstreams that ended: %v", size, ended)
+		t.Logf("%d instances: fleets by the number of crashed upstreams: %v", size, fleetsByCrashes)
 	}
 }
 
-// Guards against a burst of equal requests that ends an upstream each.
+// Guards against a burst of equal requests of which each crashes an upstream.
 func TestBurstOfOneRequestEndsFewUpstreams(t *testing.T) {
 	for seed := range uint64(8) {
-		inFleet(t, 7, seed, func(f *fleet) {
-			f.sendAgainAndAgain("fatal", 20*time.Millisecond, 8*time.Second)
-			// Until the first crash is known ten run, and what runs cannot be stopped.
-			if all, late := f.crashesBy("fatal", time.Second); all > 10+CondemnAtMost || late > 0 {
-				t.Errorf("seed %d: %d upstreams ended, %d of them late", seed, all, late)
+		testInFleet(t, 7, seed, func(f *fleet) {
+			f.sendRepeatedly("fatal", 20*time.Millisecond, 8*time.Second)
+			// Ten requests start before the first crash is known, and running requests cannot be stopped.
+			if all, late := f.countCrashes("fatal", time.Second); all > 10+CondemnAtMost || late > 0 {
+				t.Errorf("seed %d: %d upstreams crashed, %d of them late", seed, all, late)
 			}
 		})
 	}
 }
 
-// Guards against sides of a cut that each count for themselves and forget what the other one
-// knows once the cut has healed.
+// Guards against a partition whose sides count crashes separately and, after it has healed, lose what
+// the other side knows.
 func TestCutInTwoEndsAFewMore(t *testing.T) {
 	for seed := range uint64(4) {
-		inFleet(t, 63, seed, func(f *fleet) {
-			f.set(func() { f.cut = func(a, b int) bool { return a%2 != b%2 } })
-			f.sendAgainAndAgain("fatal", sendEvery, 6*time.Second)
-			f.set(func() { f.cut = nil })
+		testInFleet(t, 63, seed, func(f *fleet) {
+			f.update(func() { f.isPartitioned = func(a, b int) bool { return a%2 != b%2 } })
+			f.sendRepeatedly("fatal", sendInterval, 6*time.Second)
+			f.update(func() { f.isPartitioned = nil })
 			time.Sleep(time.Second)
-			all, late := f.crashesBy("fatal", contact)
-			f.sendAgainAndAgain("fatal", sendEvery, 4*time.Second)
-			after, _ := f.crashesBy("fatal", contact)
+			all, late := f.countCrashes("fatal", convergenceTimeout)
+			f.sendRepeatedly("fatal", sendInterval, 4*time.Second)
+			after, _ := f.countCrashes("fatal", convergenceTimeout)
 			if all > 2*CondemnAtMost || late > 3 || after > all {
-				t.Errorf("seed %d: %d upstreams ended, %d of them late, %d after the cut", seed, all, late, after-all)
+				t.Errorf("seed %d: %d upstreams crashed, %d of them late, %d after the partition", seed, all, late, after-all)
 			}
 		})
 	}
 }
 
-// Guards against an instance that starts later, knows nothing and sends the request on.
+// Guards against an instance that starts later with an empty table and forwards a condemned request.
 func TestInstanceThatStartsLearnsWhatIsCondemned(t *testing.T) {
 	for seed := range uint64(8) {
-		inFleet(t, 7, seed, func(f *fleet) {
-			f.sendAgainAndAgain("fatal", sendEvery, 4*time.Second)
+		testInFleet(t, 7, seed, func(f *fleet) {
+			f.sendRepeatedly("fatal", sendInterval, 4*time.Second)
 			f.start(3)
-			for range contact / messageTime {
-				if f.at(3).spreader.Compared() {
+			for range convergenceTimeout / messageLatency {
+				if f.nodeAt(3).spreader.Compared() {
 					break
 				}
-				time.Sleep(messageTime)
+				time.Sleep(messageLatency)
 			}
-			if state := f.at(3).spreader.Table().StateOf(bodyRequest("fatal").Fingerprint()); state != Condemned {
-				t.Errorf("seed %d: it is %s", seed, state)
+			if state := f.nodeAt(3).spreader.Table().StateOf(bodyRequest("fatal").Fingerprint()); state != Condemned {
+				t.Errorf("seed %d: state is %s, want %s", seed, state, Condemned)
 			}
 		})
 	}
--- a/pkg/quarantine/hash.go
+++ b/pkg/quarantine/hash.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash is equal for tables that watch the same requests for the same crashes; 0 for none. Clear
-// records do not count: an instance may have dropped them.
+// Hash returns a hash that is equal for tables which watch the same requests for the same crashes; it
+// is 0 if no request is watched. Clear records are left out, since an instance may have evicted them.
 func (t *Table) Hash() uint64 {
 	if !t.Watching() {
 		return 0
@@ -18,7 +18,7 @@
 	defer t.mu.Unlock()
 	var sum uint64
 	for _, e := range t.records {
-		if e.watched() {
+		if e.isWatched() {
 			sum ^= e.hash()
 		}
 	}
@@ -32,11 +32,11 @@
 		_, _ = digest.WriteString(instance)
 		_, _ = digest.Write(binary.BigEndian.AppendUint32(nil, r.Crashes[instance]))
 	}
-	for _, figure := range []uint32{r.Cleared, r.Alone, r.Verdict} {
-		_, _ = digest.Write(binary.BigEndian.AppendUint32(nil, figure))
+	for _, counter := range []uint32{r.Cleared, r.Isolated, r.Verdict} {
+		_, _ = digest.Write(binary.BigEndian.AppendUint32(nil, counter))
 	}
 	for _, key := range r.orderedEndings() {
-		if r.endings[key].undecided() {
+		if r.endings[key].isUndecided() {
 			_, _ = digest.WriteString(key.Instance + key.Address + key.Incarnation)
 			_, _ = digest.Write(binary.BigEndian.AppendUint32(nil, key.Turn))
 		}
--- a/pkg/quarantine/hash_test.go
+++ b/pkg/quarantine/hash_test.go
@@ -9,13 +9,15 @@
 	"github.com/lavenderring/lavenderring/pkg/fingerprint"
 )
 
-// hashed is a request of a number.
-type hashed byte
+// numberedRequest is a request identified by a number.
+type numberedRequest byte
 
-func (h hashed) Fingerprint() fingerprint.Fingerprint { return fingerprint.Fingerprint{byte(h) + 1} }
+func (h numberedRequest) Fingerprint() fingerprint.Fingerprint {
+	return fingerprint.Fingerprint{byte(h) + 1}
+}
 
-// Guards against a hash that is kept although its record has changed: two instances would take
-// different tables for the same, and one of them send on a request that the other has condemned.
+// Guards against a cached hash that is stale after its record changed: two instances would consider
+// different tables equal, and one of them would forward a request that the other has condemned.
 func TestKeptHashIsThatOfTheRecord(t *testing.T) {
 	const steps, requests, upstreams = 4000, 6, 4
 	random := rand.New(rand.NewPCG(1, 2))
@@ -25,13 +27,13 @@
 		now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond)
 		table := tables[random.IntN(2)]
 		upstream := Upstream{Address: fmt.Sprint("u", random.IntN(upstreams)), Incarnation: fmt.Sprint(random.IntN(3))}
-		run, err := table.Begin(hashed(random.IntN(requests)), now)
+		run, err := table.Begin(numberedRequest(random.IntN(requests)), now)
 		if err != nil {
-			continue // condemned, or on trial elsewhere
+			continue // condemned, or a trial is running elsewhere
 		}
 		switch random.IntN(5) {
 		case 0:
-			run.Broke(Origin{}, upstream, now)
+			run.NoteConnectionEnd(Origin{}, upstream, now)
 			run.Ended()
 		case 1:
 			run.Answered()
@@ -47,14 +49,14 @@
 			table.Expire(now)
 		}
 		for n, each := range tables {
-			kept := each.Hash()
+			cached := each.Hash()
 			each.mu.Lock()
 			for _, e := range each.records {
-				e.kept = 0
+				e.cachedHash = 0
 			}
 			each.mu.Unlock()
-			if fresh := each.Hash(); kept != fresh {
-				t.Fatalf("step %d: table %d keeps the hash %x, it is %x", step, n, kept, fresh)
+			if fresh := each.Hash(); cached != fresh {
+				t.Fatalf("step %d: table %d has the cached hash %x, want %x", step, n, cached, fresh)
 			}
 		}
 	}
--- a/pkg/quarantine/keeper/keeper.go
+++ b/pkg/quarantine/keeper/keeper.go
@@ -66,7 +66,7 @@
 	}
 	k.spreader = quarantine.NewSpreader(deps.Self, peers{k}, deps.Now, k.learned, k.fault)
 	k.Table().OnCondemned(k.requestStoring)
-	k.Table().OnDecided(func(r quarantine.Record) { k.decided.TryPut(r) })
+	k.Table().OnCrashConfirmed(func(r quarantine.Record) { k.decided.TryPut(r) })
 	return k
 }
 
@@ -78,7 +78,7 @@
 
 // Heard implements member.Quarantine.
 func (k *Keeper) Heard(address string, hash uint64, stored bool) {
-	k.spreader.Heard(address, hash, stored)
+	k.spreader.ReceiveHash(address, hash, stored)
 }
 
 // Stored reports whether the table has what the store has.
@@ -170,5 +170,5 @@
 
 // Exchange implements the quarantine service.
 func (s Service) Exchange(_ context.Context, message *quarantinepb.Records) (*quarantinepb.Records, error) {
-	return s.Keeper.spreader.Answer(message), nil
+	return s.Keeper.spreader.HandleRecords(message), nil
 }
--- a/pkg/quarantine/keeper/verdicts.go
+++ b/pkg/quarantine/keeper/verdicts.go
@@ -95,7 +95,7 @@
 	}
 	for i := range known {
 		if known[i].IsCondemned() || wanted[known[i].Fingerprint.String()] {
-			merged.Merge([]quarantine.Record{known[i].Lasting()}, time.Time{}, false)
+			merged.Merge([]quarantine.Record{known[i].WithoutEndings()}, time.Time{}, false)
 		}
 	}
 	out := merged.All()
--- a/pkg/quarantine/process.go
+++ b/pkg/quarantine/process.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// mostProcesses bounds the crashed processes that are remembered before those go that are older than
-// rememberFor.
-const mostProcesses = 1024
+// maxCrashedProcesses is the number of crashed processes kept before those older than
+// recentCrashLifetime are removed.
+const maxCrashedProcesses = 1024
 
-// process is one incarnation at an address.
+// process identifies one incarnation at an address.
 type process struct{ address, incarnation string }
 
-// noteProcesses takes in which processes a record says have crashed; t.mu is held.
-func (t *Table) noteProcesses(record *Record, now time.Time) {
+// noteCrashedProcesses adds the processes that crashed according to a record. t.mu must be held.
+func (t *Table) noteCrashedProcesses(record *Record, now time.Time) {
 	for key, e := range record.endings {
 		if e.Crash == 0 || key.Incarnation == "" {
 			continue
 		}
-		if len(t.crashedProcesses) >= mostProcesses {
-			t.forgetProcesses(now)
+		if len(t.crashedProcesses) >= maxCrashedProcesses {
+			t.expireProcesses(now)
 		}
 		t.crashedProcesses[process{key.Address, key.Incarnation}] = now
 	}
 }
 
-func (t *Table) forgetProcesses(now time.Time) {
+func (t *Table) expireProcesses(now time.Time) {
 	for p, at := range t.crashedProcesses {
-		if now.Sub(at) > rememberFor {
+		if now.Sub(at) > recentCrashLifetime {
 			delete(t.crashedProcesses, p)
 		}
 	}
 }
 
-// HasCrashed reports whether a process is known to have crashed: whatever is at its address is
-// another one.
+// HasCrashed reports whether a process is known to have crashed: any process now at its address is a
+// different one.
 func (t *Table) HasCrashed(address, incarnation string) bool {
 	if !t.Watching() {
 		return false
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -8,52 +8,53 @@
 	"github.com/lavenderring/lavenderring/pkg/fingerprint"
 )
 
-// How many crashes condemn.
+// Numbers of consecutive crashes that condemn a request.
 const (
-	// CondemnAfter is how many crashes in a row condemn a request at least. Fewer would condemn
-	// requests that twice met another one that crashes upstreams.
+	// CondemnAfter is the minimum. With fewer, a harmless request that twice ran next to one that
+	// crashes upstreams would be condemned.
 	CondemnAfter = 3
-	// CondemnAtMost is how many condemn it whatever else crashes.
+	// CondemnAtMost condemns a request regardless of what other upstreams crash.
 	CondemnAtMost = 5
 )
 
-// mostReporters bounds the instances that a record names. Two are enough to condemn.
-const mostReporters = 4
+// maxReporters limits the instances listed in Record.Crashes. Two are enough to condemn a request.
+const maxReporters = 4
 
-// Record is what is known of one request. Every figure only grows, and merging takes the higher
-// one: records may come in any order, and again.
+// Record is what is known about one request. Every counter only grows, and merging takes the higher
+// value, so records may be received in any order and more than once.
 type Record struct {
 	Fingerprint fingerprint.Fingerprint
-	// Account and Route say whose request it is and where it is sent, for operators.
+	// Account and Route show operators whose request it is and where it is sent.
 	Account, Route string
-	// Crashes holds, by the instance that saw it, the ordinal of the last crash. A run that
-	// began when n crashes were known and ends in one is the (n+1)th: upstreams that crash at
-	// the same moment under equal requests count as one.
+	// Crashes maps each reporting instance to the ordinal of the last crash it saw. A crash gets
+	// ordinal n+1 if n crashes were known when the run began, so upstreams that crash at the same
+	// moment under equal requests count as one crash.
 	Crashes map[string]uint32
-	// Cleared is up to which ordinal crashes say nothing, since the request was answered
-	// after them, or an operator released it.
+	// Cleared is the ordinal up to which crashes no longer count, because the request was answered
+	// after them or an operator released it.
 	Cleared uint32
-	// Alone is the ordinal among the crashes that came when no other upstream crashed.
-	Alone uint32
-	// Verdict is how many crashes there were when an instance condemned the request.
+	// Isolated counts the crashes at a time when no other upstream crashed for an unknown cause,
+	// continuing from Cleared.
+	Isolated uint32
+	// Verdict is the ordinal of the last crash when an instance condemned the request.
 	Verdict uint32
-	// Started and Ended are the ordinals of the last trials that began and ended. A trial is
-	// a run of a request that is suspected.
+	// Started and Ended are the ordinals of the last trials that began and ended. A trial is a run
+	// of a suspected request.
 	Started, Ended uint32
-	// LastCrash is when the last crash was seen, by the clock of the instance that saw it.
+	// LastCrash is when the last crash was observed, by the clock of the instance that observed it.
 	LastCrash time.Time
-	// Upstream is the incarnation that crashed last.
+	// Upstream is the ID of the incarnation that crashed last.
 	Upstream string
-	// endings are how connections ended lately before a whole answer had come.
+	// endings are the recent connections that ended before the answer was complete.
 	endings map[endingKey]ending
 }
 
-// State is what follows from a record.
+// State is how an instance treats a request, derived from its record.
 type State string
 
 // States of a request.
 const (
-	// Clear requests run like any other.
+	// Clear requests run without restrictions.
 	Clear State = "clear"
 	// Suspected requests run one at a time.
 	Suspected State = "suspected"
@@ -61,8 +62,8 @@
 	Condemned State = "condemned"
 )
 
-// last is the ordinal of the last crash.
-func (r *Record) last() uint32 {
+// lastCrashOrdinal returns the highest ordinal of a crash.
+func (r *Record) lastCrashOrdinal() uint32 {
 	var last uint32
 	for _, ordinal := range r.Crashes {
 		last = max(last, ordinal)
@@ -70,23 +71,24 @@
 	return last
 }
 
-// InARow is how many crashes count.
+// ConsecutiveCrashes returns the number of crashes since the request was last cleared.
 func (r *Record) InARow() uint32 {
-	last := r.last()
+	last := r.lastCrashOrdinal()
 	return last - min(last, r.Cleared)
 }
 
-// IsCondemned reports that some instance condemned the request and nothing has cleared it since.
+// IsCondemned reports whether the request has reached CondemnAtMost, or some instance condemned it,
+// and it has not been cleared since.
 func (r *Record) IsCondemned() bool {
-	inARow := r.InARow()
-	return inARow >= CondemnAtMost || (inARow > 0 && r.Verdict > r.Cleared)
+	consecutive := r.InARow()
+	return consecutive >= CondemnAtMost || (consecutive > 0 && r.Verdict > r.Cleared)
 }
 
-// StateAt tells what an instance does with the request. The word of one other instance does not
-// condemn: a faulty one would take requests away from all.
+// StateAt returns the state of the request at an instance. Crashes reported by only one other instance
+// do not condemn it: a faulty instance could otherwise block requests in the whole fleet.
 func (r *Record) StateAt(instance string) State {
 	switch {
-	case r.InARow() == 0 && r.Undecided() <= 1: // one connection that ended is no sign of a crash
+	case r.InARow() == 0 && r.NumUndecided() <= 1: // a single ended connection does not indicate a crash
 		return Clear
 	case !r.IsCondemned():
 		return Suspected
@@ -103,16 +105,16 @@
 	return Suspected
 }
 
-// merge raises the record to what another one knows, and reports whether that was more.
+// merge merges another record of the request, and reports whether that added knowledge.
 func (r *Record) merge(other *Record) (changed bool) {
 	before := maps.Clone(r.Crashes)
 	for instance, ordinal := range other.Crashes {
 		r.Crashes[instance] = max(r.Crashes[instance], ordinal)
 	}
-	r.boundReporters()
+	r.trimReporters()
 	changed = !maps.Equal(before, r.Crashes)
 	changed = raise(&r.Cleared, other.Cleared) || changed
-	changed = raise(&r.Alone, other.Alone) || changed
+	changed = raise(&r.Isolated, other.Isolated) || changed
 	changed = raise(&r.Verdict, other.Verdict) || changed
 	changed = raise(&r.Started, other.Started) || changed
 	changed = raise(&r.Ended, other.Ended) || changed
@@ -123,18 +125,18 @@
 	return changed
 }
 
-func raise(figure *uint32, to uint32) bool {
-	if to <= *figure {
+func raise(counter *uint32, value uint32) bool {
+	if value <= *counter {
 		return false
 	}
-	*figure = to
+	*counter = value
 	return true
 }
 
-// boundReporters drops the reporters of the lowest ordinals beyond the bound. Those of the
-// highest ones stay whatever the order of merges.
-func (r *Record) boundReporters() {
-	for len(r.Crashes) > mostReporters {
+// trimReporters removes the reporters with the lowest ordinals until maxReporters are left. Those with
+// the highest ordinals are kept, whatever the order of merges.
+func (r *Record) trimReporters() {
+	for len(r.Crashes) > maxReporters {
 		lowest := slices.MinFunc(slices.Sorted(maps.Keys(r.Crashes)), func(a, b string) int {
 			return int(r.Crashes[a]) - int(r.Crashes[b])
 		})
@@ -149,12 +151,13 @@
 	return copied
 }
 
-// Lasting returns what of the record outlasts the next seconds.
-func (r *Record) Lasting() Record {
-	lasting := r.clone()
-	lasting.endings = nil
-	return lasting
+// WithoutEndings returns a copy without the endings, which are only relevant for seconds.
+func (r *Record) WithoutEndings() Record {
+	copied := r.clone()
+	copied.endings = nil
+	return copied
 }
 
-// watched reports that requests have to be recognized for the record's sake.
-func (r *Record) watched() bool { return r.InARow() > 0 || r.Undecided() > 0 }
+// isWatched reports whether the record has crashes or undecided endings, so that requests must be
+// fingerprinted to match it.
+func (r *Record) isWatched() bool { return r.InARow() > 0 || r.NumUndecided() > 0 }
--- a/pkg/quarantine/spread.go
+++ b/pkg/quarantine/spread.go
@@ -11,98 +11,102 @@
 	"github.com/lavenderring/lavenderring/pkg/ring"
 )
 
-// How records reach all instances: who learns something new tells some others at once (push
-// gossip), and tables that differ are compared whole.
+// Parameters of the dissemination: an instance that learns something new pushes it to some others at
+// once (push gossip), and instances whose tables differ exchange them in full.
 const (
-	// fanout is how many others are told by each that learns something new. Of 300 instances
-	// all but one in 400 hear of it in this way, within four messages' time.
+	// fanout is the number of instances to which new records are pushed. Of 300 instances, all but
+	// one in 400 receive a record this way, within the time of four messages.
 	fanout = 6
-	// collect is the pause between two tellings, so that what happens together is told together.
-	collect = 10 * time.Millisecond
-	// comparePause is the least pause between two comparisons of whole tables; it doubles up
-	// to compareMost while tables go on to differ.
-	comparePause = 200 * time.Millisecond
-	compareMost  = time.Second
+	// pushInterval is the minimum time between two pushes, which batches simultaneous changes.
+	pushInterval = 10 * time.Millisecond
+	// minCompareInterval is the initial interval between two exchanges of whole tables. It doubles
+	// up to maxCompareInterval while the tables still differ.
+	minCompareInterval = 200 * time.Millisecond
+	maxCompareInterval = time.Second
 )
 
-// Peers are the other instances, as a Spreader needs them.
+// Peers gives a Spreader access to the other instances.
 type Peers interface {
-	// Choose returns the addresses of up to so many others, drawn at random, and whether
-	// these are all.
-	Choose(most int) (addresses []string, all bool)
-	// Exchange sends records to the instance at an address and returns its answer, within a
-	// bounded time.
+	// Choose returns the addresses of up to limit other instances, chosen at random, and whether
+	// these are all of them.
+	Choose(limit int) (addresses []string, all bool)
+	// Exchange sends records to the instance at an address and returns its reply. It returns
+	// within a bounded time.
 	Exchange(ctx context.Context, address string, records *quarantinepb.Records) (*quarantinepb.Records, error)
 }
 
-// Spreader keeps an instance's table like the others'. It is made by NewSpreader.
+// Spreader synchronizes an instance's table with those of the other instances. It is created by
+// NewSpreader.
 type Spreader struct {
 	table *Table
 	peers Peers
 	now   func() time.Time
-	// bad is told of records that cannot be used, learned of records that were new.
-	bad     func(from string, err error)
-	learned func([]Record)
-
-	news *ring.Ring[struct{}]
-	// differs takes the address of an instance whose table is another one.
-	differs *ring.Ring[string]
-	// compared says that this instance has seen another one's table, stored that the table
-	// has what the store has.
+	// onBadRecord is called for each invalid record received, onLearned with received records that
+	// changed the table.
+	onBadRecord func(from string, err error)
+	onLearned   func([]Record)
+
+	wakeups *ring.Ring[struct{}]
+	// differing holds the address of an instance whose table differs from this one's.
+	differing *ring.Ring[string]
+	// compared reports that the table has been compared with another instance's, stored that it
+	// contains what the store has.
 	compared, stored atomic.Bool
 
 	mu sync.Mutex
-	// nextCompare is when tables may be compared again, after a pause that grows.
-	nextCompare time.Time
-	pause       time.Duration
+	// nextCompare is when tables may be exchanged again, compareInterval the time until the
+	// exchange after that.
+	nextCompare     time.Time
+	compareInterval time.Duration
 }
 
-// NewSpreader returns the spreader of the table of the instance named. learned and bad are told
-// of what comes from others.
+// NewSpreader returns a spreader with an empty table for the instance named self. onLearned is called
+// with received records that changed the table, onBadRecord with the address of the sender (empty if the
+// sender began the exchange) and the error for each invalid record.
 func NewSpreader(
-	self string, peers Peers, now func() time.Time, learned func([]Record), bad func(from string, err error),
+	self string, peers Peers, now func() time.Time, onLearned func([]Record), onBadRecord func(from string, err error),
 ) *Spreader {
 	s := &Spreader{
-		peers:   peers,
-		now:     now,
-		bad:     bad,
-		learned: learned,
-		news:    ring.New[struct{}](1),
-		differs: ring.New[string](1),
-		pause:   comparePause,
+		peers:           peers,
+		now:             now,
+		onBadRecord:     onBadRecord,
+		onLearned:       onLearned,
+		wakeups:         ring.New[struct{}](1),
+		differing:       ring.New[string](1),
+		compareInterval: minCompareInterval,
 	}
 	s.table = NewTable(self, s.wake)
 	return s
 }
 
-// Table returns the table that is kept.
+// Table returns the synchronized table.
 func (s *Spreader) Table() *Table { return s.table }
 
-// Compared reports whether the table has been compared with another instance's once, and was
-// alike or was made so.
+// Compared reports whether the table has been compared with another instance's at least once, and was
+// equal or has been merged with it.
 func (s *Spreader) Compared() bool { return s.compared.Load() }
 
-// wake has Run tell what is new; a full ring says that it will.
-func (s *Spreader) wake() { s.news.TryPut(struct{}{}) }
+// wake makes Run push the pending records. If the ring is full, Run has yet to handle an earlier wakeup.
+func (s *Spreader) wake() { s.wakeups.TryPut(struct{}{}) }
 
-// Run tells and compares until ctx ends.
+// Run pushes pending records and exchanges differing tables until ctx ends.
 func (s *Spreader) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.news.Items():
-			s.tell(ctx)
-			pause.For(ctx, collect)
-		case address := <-s.differs.Items():
+		case <-s.wakeups.Items():
+			s.push(ctx)
+			pause.For(ctx, pushInterval)
+		case address := <-s.differing.Items():
 			s.compare(ctx, address)
 		}
 	}
 }
 
-// tell sends what is new to some others. One that is not reached has another table then, and
-// comparing finds it.
-func (s *Spreader) tell(ctx context.Context) {
+// push sends the pending records to some other instances. An instance that is not reached is left with
+// a differing table, which the comparison of hashes detects.
+func (s *Spreader) push(ctx context.Context) {
 	records := s.table.News()
 	if len(records) == 0 {
 		return
@@ -114,16 +118,16 @@
 	}
 }
 
-// Stored reports whether the table has what the store has: it was read there by this instance, or
-// by one whose table was the same.
+// Stored reports whether the table contains what the store has: the store was read by this instance, or
+// by one whose table was equal.
 func (s *Spreader) Stored() bool { return s.stored.Load() }
 
-// NoteStored notes that the table has what the store has.
+// NoteStored records that the table contains what the store has.
 func (s *Spreader) NoteStored() { s.stored.Store(true) }
 
-// Heard takes in the hash of the table of the instance at an address, and whether that table has
-// what the store has.
-func (s *Spreader) Heard(address string, hash uint64, stored bool) {
+// ReceiveHash handles the hash of the table of the instance at an address, and whether that table
+// contains what the store has. If the tables differ, it schedules an exchange.
+func (s *Spreader) ReceiveHash(address string, hash uint64, stored bool) {
 	s.table.Expire(s.now())
 	if hash == s.table.Hash() {
 		s.compared.Store(true)
@@ -131,41 +135,43 @@
 			s.stored.Store(true)
 		}
 		s.mu.Lock()
-		s.pause = comparePause
+		s.compareInterval = minCompareInterval
 		s.mu.Unlock()
 		return
 	}
-	if s.mayCompare() {
-		s.differs.TryPut(address) // a full ring means that another one is compared first
+	if s.tryStartCompare() {
+		s.differing.TryPut(address) // if the ring is full, another instance is compared first
 	}
 }
 
-func (s *Spreader) mayCompare() bool {
+func (s *Spreader) tryStartCompare() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	if now.Before(s.nextCompare) {
 		return false
 	}
-	s.nextCompare = now.Add(s.pause)
-	s.pause = min(2*s.pause, compareMost)
+	s.nextCompare = now.Add(s.compareInterval)
+	s.compareInterval = min(2*s.compareInterval, maxCompareInterval)
 	return true
 }
 
-// compare makes both tables the union of the two.
+// compare exchanges whole tables with the instance at an address, so that both become the union of the
+// two.
 func (s *Spreader) compare(ctx context.Context, address string) {
 	message := &quarantinepb.Records{Records: Encode(s.table.All(), s.now()), WantAll: true}
 	reply, err := s.peers.Exchange(ctx, address, message)
 	if err != nil {
-		return // the next heartbeat tells whether the tables still differ
+		return // the next heartbeat shows whether the tables still differ
 	}
-	s.take(address, reply, true)
+	s.receive(address, reply, true)
 	s.compared.Store(true)
 }
 
-// Answer takes in what another instance sends, and returns what it asks for.
-func (s *Spreader) Answer(message *quarantinepb.Records) *quarantinepb.Records {
-	s.take("", message, !message.ToldAll)
+// HandleRecords merges the records that another instance sent, and returns all records if it asked for
+// them.
+func (s *Spreader) HandleRecords(message *quarantinepb.Records) *quarantinepb.Records {
+	s.receive("", message, !message.ToldAll)
 	reply := &quarantinepb.Records{}
 	if message.WantAll {
 		reply.Records = Encode(s.table.All(), s.now())
@@ -173,12 +179,12 @@
 	return reply
 }
 
-func (s *Spreader) take(from string, message *quarantinepb.Records, tellOn bool) {
+func (s *Spreader) receive(from string, message *quarantinepb.Records, forward bool) {
 	records, bad := Decode(message.Records, s.now())
 	for _, err := range bad {
-		s.bad(from, err)
+		s.onBadRecord(from, err)
 	}
-	if changed := s.table.Merge(records, s.now(), tellOn); len(changed) > 0 {
-		s.learned(changed)
+	if changed := s.table.Merge(records, s.now(), forward); len(changed) > 0 {
+		s.onLearned(changed)
 	}
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -1,10 +1,10 @@
-// Package quarantine finds requests that crash the upstreams which run them, and keeps them from
-// running again. It knows no network.
+// Package quarantine detects requests that crash the upstreams which run them, and prevents them from
+// running again. It does no network I/O itself.
 //
-// A request under which an upstream crashed is suspected: it may have been the cause, or have run
-// beside it. Suspected requests run one at a time in the whole fleet. An answer clears a request;
-// CondemnAfter crashes in a row condemn it, for good, unless an operator releases it. Where other
-// upstreams crash at the same time without a suspect, more are needed.
+// A request that was running when its upstream crashed is suspected: it may have caused the crash, or
+// only have run at the same time as the cause. Suspected requests run one at a time in the whole fleet.
+// An answer clears a request; CondemnAfter consecutive crashes condemn it permanently, unless an operator
+// releases it. More crashes are needed where other upstreams crash at the same time without a suspect.
 package quarantine
 
 import (
@@ -19,21 +19,21 @@
 	"github.com/lavenderring/lavenderring/pkg/pause"
 )
 
-// trialTimeout is how long a trial that was told of holds others back without its end: the
-// instance that runs it may be gone.
+// trialTimeout is how long a trial whose end is not known prevents other runs. The instance that runs
+// it may be gone.
 const trialTimeout = 5 * time.Second
 
-// Reasons for which a request does not run.
+// Reasons for refusing a request.
 var (
-	// ErrCondemned means that it will not run later either.
+	// ErrCondemned means that the request is refused permanently.
 	ErrCondemned = errors.New("request crashed the upstreams that ran it")
-	// ErrTrialRuns means that it may run when its present run has ended.
+	// ErrTrialRuns means that the request may run once its current run has ended.
 	ErrTrialRuns = errors.New("request is suspected of crashing upstreams and runs elsewhere")
 )
 
-// RefusedError tells which request does not run.
+// RefusedError is returned for a request that may not run.
 type RefusedError struct {
-	// Fingerprint is by what operators find it.
+	// Fingerprint identifies the request to operators.
 	Fingerprint fingerprint.Fingerprint
 	// Err is ErrCondemned or ErrTrialRuns.
 	Err error
@@ -42,121 +42,128 @@
 // Error implements error.
 func (e *RefusedError) Error() string { return fmt.Sprintf("quarantine %s: %v", e.Fingerprint, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// Policy is how crashes are judged. Instances use DefaultPolicy; the others are what experiments
-// compare it with.
+// Policy controls how crashes are judged. Instances use DefaultPolicy; experiments compare it with other
+// policies.
 type Policy struct {
-	// Trials says that suspected requests run one at a time.
+	// Trials makes suspected requests run one at a time.
 	Trials bool
-	// Alone says that crashes beside those of other upstreams count for less.
-	Alone bool
+	// DiscountConcurrent gives less weight to crashes at the same time as those of other upstreams.
+	DiscountConcurrent bool
 }
 
-// DefaultPolicy is that of instances.
-var DefaultPolicy = Policy{Trials: true, Alone: true}
+// DefaultPolicy is the policy that instances use.
+var DefaultPolicy = Policy{Trials: true, DiscountConcurrent: true}
 
-// Table holds the records of one instance. It is safe for concurrent use.
+// Table holds the records known to one instance. It is safe for concurrent use.
 type Table struct {
 	self   string
 	policy Policy
-	// watched counts the records that are not clear; while there are none, no request needs
-	// to be recognized.
+	// watched counts the records with crashes or undecided endings. While it is 0, requests need
+	// not be fingerprinted.
 	watched atomic.Int64
 
 	mu      sync.Mutex
 	records map[fingerprint.Fingerprint]*entry
 	// accounts counts the records of each account.
 	accounts map[string]int
-	news     map[fingerprint.Fingerprint]bool
+	// pending holds the requests whose records are still to be sent to other instances.
+	pending map[fingerprint.Fingerprint]bool
 	// undecided holds the requests with undecided endings by the address of the upstream;
-	// expires is when the first of these endings says nothing any more.
-	undecided map[string]map[fingerprint.Fingerprint]bool
-	expires   time.Time
-	// crashedProcesses holds when processes were known to have crashed.
+	// nextExpiry is when the first of these endings expires.
+	undecided  map[string]map[fingerprint.Fingerprint]bool
+	nextExpiry time.Time
+	// crashedProcesses holds when each crashed process was last reported as crashed.
 	crashedProcesses map[process]time.Time
-	// open counts these addresses; while there are none, answers need not be looked at.
-	open atomic.Int64
-	// seen are the crashes of upstreams of the last seconds.
-	seen   crashesSeen
-	onNews func()
-	// onCondemned is called after a crash seen here condemned a request.
+	// numUndecidedAddresses is the number of addresses in undecided. While it is 0, answers need not
+	// be examined.
+	numUndecidedAddresses atomic.Int64
+	// recent holds the crashes of upstreams of the last seconds.
+	recent   recentCrashes
+	onChange func()
+	// onCondemned is called when this instance judges a request and finds it condemned.
 	onCondemned func()
-	// onDecided is told of a crash that was undecided until now.
-	onDecided func(Record)
+	// onCrashConfirmed is called with the record when an undecided ending is found to be a crash.
+	onCrashConfirmed func(Record)
 }
 
-// entry is a record with what only this instance knows of it.
+// entry is a record with state that is local to this instance.
 type entry struct {
 	Record
-	// heldUntil is when a trial of another instance holds no longer.
-	heldUntil time.Time
-	// undecidedAt are the addresses under which the table's index has the record.
-	undecidedAt []string
-	// crashed are incarnations that crashed under the request, the first of them.
-	crashed map[string]bool
-	// kept is the record's hash; 0 after a change.
-	kept uint64
-}
-
-// hash is the record's, kept until it changes: each heartbeat compares whole tables.
+	// trialExpiry is when the last known trial stops preventing other runs, even if its end is not
+	// known.
+	trialExpiry time.Time
+	// indexedAddresses are the addresses under which Table.undecided lists the request.
+	indexedAddresses []string
+	// crashedUpstreams holds the IDs of the first maxCrashedUpstreams incarnations that crashed
+	// under the request.
+	crashedUpstreams map[string]bool
+	// cachedHash is the record's hash; 0 after a change.
+	cachedHash uint64
+}
+
+// hash returns the record's hash, cached until the record changes: each heartbeat hashes the whole
+// table.
 func (e *entry) hash() uint64 {
-	if e.kept == 0 {
-		e.kept = e.Record.hash()
+	if e.cachedHash == 0 {
+		e.cachedHash = e.Record.hash()
 	}
-	return e.kept
+	return e.cachedHash
 }
 
-// mostOwnCrashes bounds the incarnations that an entry names.
-const mostOwnCrashes = 32
+// maxCrashedUpstreams limits entry.crashedUpstreams.
+const maxCrashedUpstreams = 32
 
-func (e *entry) noteCrash(upstream string) {
-	if upstream != "" && len(e.crashed) < mostOwnCrashes {
-		e.crashed[upstream] = true
+func (e *entry) addCrashedUpstream(upstream string) {
+	if upstream != "" && len(e.crashedUpstreams) < maxCrashedUpstreams {
+		e.crashedUpstreams[upstream] = true
 	}
 }
 
-// NewTable returns the empty table of an instance. onNews, if not nil, is called after a change
-// that the others do not know; it must not block.
-func NewTable(self string, onNews func()) *Table { return NewPolicyTable(self, DefaultPolicy, onNews) }
+// NewTable returns an empty table for the instance named self. onChange, if not nil, is called after a
+// change that is to be sent to other instances; it must not block.
+func NewTable(self string, onChange func()) *Table {
+	return NewPolicyTable(self, DefaultPolicy, onChange)
+}
 
-// NewPolicyTable returns a table with a policy of its own, for experiments.
-func NewPolicyTable(self string, policy Policy, onNews func()) *Table {
-	if onNews == nil {
-		onNews = func() {}
+// NewPolicyTable is like NewTable but with another policy, for experiments.
+func NewPolicyTable(self string, policy Policy, onChange func()) *Table {
+	if onChange == nil {
+		onChange = func() {}
 	}
 	return &Table{
 		self:     self,
 		policy:   policy,
 		records:  map[fingerprint.Fingerprint]*entry{},
 		accounts: map[string]int{},
-		news:     map[fingerprint.Fingerprint]bool{},
+		pending:  map[fingerprint.Fingerprint]bool{},
 
 		undecided: map[string]map[fingerprint.Fingerprint]bool{},
 
 		crashedProcesses: map[process]time.Time{},
 
-		seen:   crashesSeen{},
-		onNews: onNews,
+		recent:   recentCrashes{},
+		onChange: onChange,
 
-		onCondemned: func() {},
-		onDecided:   func(Record) {},
+		onCondemned:      func() {},
+		onCrashConfirmed: func(Record) {},
 	}
 }
 
-// OnCondemned sets what is called after a crash seen here condemned a request; it must not block.
-// It is set before the table is used.
+// OnCondemned sets a function that is called when this instance judges a request and finds it condemned.
+// It must not block, and must be set before the table is used.
 func (t *Table) OnCondemned(call func()) { t.onCondemned = call }
 
-// OnDecided sets what is told of each crash that was undecided until now; it must not block. It is
-// set before the table is used.
-func (t *Table) OnDecided(call func(Record)) { t.onDecided = call }
+// OnCrashConfirmed sets a function that is called with the record when an undecided ending is found to
+// be a crash. It must not block, and must be set before the table is used.
+func (t *Table) OnCrashConfirmed(call func(Record)) { t.onCrashConfirmed = call }
 
-// Watching reports whether any request is suspected or condemned. It takes no lock.
+// Watching reports whether any record has crashes or undecided endings. It takes no lock.
 func (t *Table) Watching() bool { return t.watched.Load() > 0 }
 
-// StateOf tells what this instance does with a request.
+// StateOf returns the state of a request at this instance.
 func (t *Table) StateOf(f fingerprint.Fingerprint) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,8 +174,8 @@
 	return e.StateAt(t.self)
 }
 
-// Refuse returns why a request does not run now or later: a *RefusedError if it is condemned. Its
-// fingerprint is asked for only while any request is watched.
+// Refuse returns a *RefusedError if the request is condemned, else nil. The fingerprint is computed only
+// while any request is watched.
 func (t *Table) Refuse(request Request) error {
 	if !t.Watching() {
 		return nil
@@ -180,38 +187,38 @@
 	return &RefusedError{Fingerprint: f, Err: ErrCondemned}
 }
 
-// Request is a request that may have to be recognized.
+// Request is a request whose fingerprint is computed on demand.
 type Request interface {
 	Fingerprint() fingerprint.Fingerprint
 }
 
-// Run is one run of a request at an upstream. Its end is told once: by Conclude, or by one of
-// Answered, Crashed and Ended.
+// Run is one run of a request at an upstream. Its end is recorded once: by Conclude, or by one of
+// NoteAnswer, NoteCrash and NoteEnd.
 type Run struct {
 	table   *Table
 	request Request
-	// before is how many crashes were known when the run began.
-	before uint32
-	// turn is how many endings were known then.
-	turn uint32
-	// watched says that an upstream crashed under the request, or may have.
+	// knownCrashes is the ordinal of the last crash known when the run began.
+	knownCrashes uint32
+	// knownEndings is the turn of the last ending known when the run began.
+	knownEndings uint32
+	// watched reports that an upstream crashed under the request, or may have.
 	watched bool
-	// trial is its ordinal; 0 for a run of a request that is not suspected.
+	// trial is the ordinal of the trial; 0 if the request is not suspected.
 	trial uint32
 }
 
-// IsWatched reports that an upstream crashed under the request, or may have: it is worth a question to
-// know which process gets it now.
+// IsWatched reports whether an upstream crashed under the request, or may have. For such a request it is
+// worth a query to learn which process is about to run it.
 func (r Run) IsWatched() bool { return r.watched }
 
-// IsTrial reports that the request is suspected.
+// IsTrial reports whether the request is suspected.
 func (r Run) IsTrial() bool { return r.trial > 0 }
 
-// Origin says, for operators, whose request it is and where it is sent.
+// Origin shows operators whose request it is and where it is sent.
 type Origin struct{ Account, Route string }
 
-// Begin asks whether a request may run. Its fingerprint is asked for only while any request is
-// watched. Errors: *RefusedError.
+// Begin starts a run of a request, or returns a *RefusedError if it may not run now. The fingerprint is
+// computed only while any request is watched.
 func (t *Table) Begin(request Request, now time.Time) (Run, error) {
 	run := Run{table: t, request: request}
 	if !t.Watching() {
@@ -225,9 +232,9 @@
 	if e == nil {
 		return run, nil
 	}
-	run.before, run.turn, run.watched = e.last(), e.lastTurn(), e.watched()
+	run.knownCrashes, run.knownEndings, run.watched = e.lastCrashOrdinal(), e.lastTurn(), e.isWatched()
 	if e.StateAt(t.self) == Suspected {
-		t.condemn(e, now) // instances may have decided about its crashes each without the others
+		t.condemn(e, now) // several instances may each have judged some of its crashes separately
 	}
 	switch e.StateAt(t.self) {
 	case Clear:
@@ -235,28 +242,28 @@
 	case Condemned:
 		return Run{}, &RefusedError{Fingerprint: f, Err: ErrCondemned}
 	}
-	if t.policy.Trials && e.heldBack(now) {
+	if t.policy.Trials && e.mustWait(now) {
 		return Run{}, &RefusedError{Fingerprint: f, Err: ErrTrialRuns}
 	}
 	e.Started = max(e.Started, e.Ended) + 1
-	e.heldUntil = now.Add(trialTimeout)
+	e.trialExpiry = now.Add(trialTimeout)
 	run.trial = e.Started
-	t.tell(f)
+	t.markPending(f)
 	return run, nil
 }
 
-// heldBack reports that the request has to wait: a trial runs, or endings are undecided beside a crash,
-// or as many of them as condemn it if they are crashes.
-func (e *entry) heldBack(now time.Time) bool {
-	if e.Started > e.Ended && now.Before(e.heldUntil) {
+// mustWait reports whether the request has to wait: a trial is running, or the request has undecided
+// endings in addition to a crash, or so many of them that they would condemn it if they were crashes.
+func (e *entry) mustWait(now time.Time) bool {
+	if e.Started > e.Ended && now.Before(e.trialExpiry) {
 		return true
 	}
-	undecided, crashes := e.Undecided(), e.InARow()
+	undecided, crashes := e.NumUndecided(), e.InARow()
 	return undecided > 0 && (crashes > 0 || undecided >= CondemnAfter)
 }
 
-// Crashed notes that the upstream crashed while the request ran there. Judge is to be called after
-// JudgeAfter; until then an equal request does not run if this one is suspected.
+// NoteCrash records that the upstream crashed while running the request. The caller must call
+// Crash.Judge after JudgeDelay; until then, an equal request does not run if this one is suspected.
 func (r Run) Crashed(origin Origin, upstream Upstream, now time.Time) Crash {
 	t := r.table
 	f := r.request.Fingerprint()
@@ -266,9 +273,9 @@
 	if e := t.records[f]; e != nil {
 		cleared = e.Cleared
 	}
-	before := max(r.before, cleared) // what was cleared was not looked up when the run began
-	t.seen.note(upstream.ID, before-cleared, now)
-	key := t.keyOf(&r, f, upstream)
+	before := max(r.knownCrashes, cleared) // a run that began while nothing was watched did not look up the cleared crashes
+	t.recent.note(upstream.ID, before-cleared, now)
+	key := t.endingKeyFor(&r, f, upstream)
 	crash := Crash{run: r, at: now, record: Record{
 		Fingerprint: f,
 		Account:     origin.Account,
@@ -282,17 +289,18 @@
 	return crash
 }
 
-// Crash is one that waits for its judgement.
+// Crash is a recorded crash that has not been judged yet.
 type Crash struct {
 	run    Run
 	at     time.Time
 	record Record
 }
 
-// IsFirst reports that the request was not suspected before: it needs no judgement then.
+// IsFirst reports whether the request was not suspected when the run began: its crash needs no delay
+// before it is judged.
 func (c *Crash) IsFirst() bool { return c.run.trial == 0 }
 
-// Await waits until the crash can be judged, or ctx ends, and judges it.
+// Await waits until the crash can be judged or ctx ends, and judges it.
 func (c *Crash) Await(ctx context.Context) Record {
 	if !c.IsFirst() {
 		pause.For(ctx, JudgeAfter)
@@ -300,53 +308,56 @@
 	return c.Judge()
 }
 
-// Judge tells what follows for the request: a crash counts for more if no other upstream crashed at
-// that time of an unknown cause.
+// Judge decides what the crash means for the request, and returns its record. A crash has more weight if
+// no other upstream crashed at that time for an unknown cause.
 func (c *Crash) Judge() Record {
 	t := c.run.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.records[c.record.Fingerprint]
 	if e == nil {
-		return c.record // the table has no room for it
+		return c.record // the table is full
 	}
 	t.judge(e, c.run.trial, c.IsFirst(), c.at)
 	return e.clone()
 }
 
-// judge tells what follows from a crash at a time; t.mu is held.
+// judge ends the trial, counts the crash as isolated if it was, and condemns the request if it has
+// enough crashes. t.mu must be held.
 func (t *Table) judge(e *entry, trial uint32, first bool, at time.Time) {
 	verdict := Record{Fingerprint: e.Fingerprint, Ended: trial}
-	if !first && t.isAlone(e, at) {
-		verdict.Alone = max(e.Alone, e.Cleared) + 1
+	if !first && t.isIsolated(e, at) {
+		verdict.Isolated = max(e.Isolated, e.Cleared) + 1
 	}
 	t.merge(&verdict, at)
 	t.condemn(e, at)
 }
 
-// isAlone reports that nothing else explains a crash at a time; t.mu is held.
-func (t *Table) isAlone(e *entry, at time.Time) bool {
-	return !t.seen.othersAt(e.crashed, at) && !t.undecidedBeside(e, at)
+// isIsolated reports whether no other upstream crashed, or may have crashed, at the same time for an
+// unknown cause. t.mu must be held.
+func (t *Table) isIsolated(e *entry, at time.Time) bool {
+	return !t.recent.hasUnexplainedAt(e.crashedUpstreams, at) && !t.hasConcurrentUndecided(e, at)
 }
 
-// condemn condemns a request that has crashes enough; t.mu is held.
+// condemn condemns a request that has enough crashes, and calls onCondemned if it is condemned. t.mu must
+// be held.
 func (t *Table) condemn(e *entry, now time.Time) {
-	if e.InARow() >= CondemnAfter && t.enoughAlone(e, now) {
-		t.merge(&Record{Fingerprint: e.Fingerprint, Verdict: e.last()}, now)
+	if e.InARow() >= CondemnAfter && t.hasEnoughIsolated(e, now) {
+		t.merge(&Record{Fingerprint: e.Fingerprint, Verdict: e.lastCrashOrdinal()}, now)
 	}
 	if e.StateAt(t.self) == Condemned {
 		t.onCondemned()
 	}
 }
 
-// enoughAlone reports whether a request has crashes enough that no other crash can explain; t.mu
-// is held.
-func (t *Table) enoughAlone(e *entry, now time.Time) bool {
-	return !t.policy.Alone || e.aloneCrashes() >= t.seen.aloneNeeded(e.crashed, now)
+// hasEnoughIsolated reports whether a request has enough isolated crashes to be condemned. t.mu must be
+// held.
+func (t *Table) hasEnoughIsolated(e *entry, now time.Time) bool {
+	return !t.policy.DiscountConcurrent || e.numIsolatedCrashes() >= t.recent.requiredIsolated(e.crashedUpstreams, now)
 }
 
-// Answered notes that an upstream gave a whole answer: the request is not what crashed the others.
-// It reports whether that cleared the request of a suspicion.
+// NoteAnswer records that an upstream sent a complete answer: the request did not cause the crashes of
+// the others. It reports whether the request was suspected or condemned until then.
 func (r Run) Answered() bool {
 	t := r.table
 	if !t.Watching() {
@@ -360,15 +371,15 @@
 		return false
 	}
 	suspected := e.StateAt(t.self) != Clear
-	t.change(e, func() bool {
+	t.update(e, func() bool {
 		ended := raise(&e.Ended, r.trial)
-		refuted := e.refuteAll()
-		return raise(&e.Cleared, e.last()) || ended || refuted
+		refuted := e.refuteUndecided()
+		return raise(&e.Cleared, e.lastCrashOrdinal()) || ended || refuted
 	})
 	return suspected
 }
 
-// Ended notes that the run ended in another way, from which nothing follows.
+// NoteEnd records that the run ended without evidence about the request.
 func (r Run) Ended() {
 	t := r.table
 	if r.trial == 0 {
@@ -378,40 +389,41 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.records[f]; e != nil {
-		t.change(e, func() bool { return raise(&e.Ended, r.trial) })
+		t.update(e, func() bool { return raise(&e.Ended, r.trial) })
 	}
 }
 
-// Release has a condemned or suspected request run again like any other. It reports whether there
-// was one.
+// Release clears a watched request, so that it runs without restrictions. It reports whether the request
+// was watched.
 func (t *Table) Release(f fingerprint.Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.records[f]
-	if e == nil || !e.watched() {
+	if e == nil || !e.isWatched() {
 		return false
 	}
-	t.change(e, func() bool {
-		refuted := e.refuteAll()
-		return raise(&e.Cleared, e.last()) || refuted
+	t.update(e, func() bool {
+		refuted := e.refuteUndecided()
+		return raise(&e.Cleared, e.lastCrashOrdinal()) || refuted
 	})
 	return true
 }
 
-// change applies a change to an entry and has it told; t.mu is held.
-func (t *Table) change(e *entry, apply func() bool) {
-	before := e.watched()
+// update applies a change to an entry; if apply reports that it changed something, the indexes follow
+// and the record is marked as pending. t.mu must be held.
+func (t *Table) update(e *entry, apply func() bool) {
+	before := e.isWatched()
 	if !apply() {
 		return
 	}
-	e.kept = 0
-	t.count(before, e.watched())
-	t.index(e)
-	t.tell(e.Fingerprint)
+	e.cachedHash = 0
+	t.countWatched(before, e.isWatched())
+	t.updateIndex(e)
+	t.markPending(e.Fingerprint)
 }
 
-// count keeps the number of watched records.
-func (t *Table) count(before, after bool) {
+// countWatched adjusts the number of watched records after a record changed.
+func (t *Table) countWatched(before, after bool) {
 	switch {
 	case before && !after:
 		t.watched.Add(-1)
@@ -420,34 +432,35 @@
 	}
 }
 
-func (t *Table) tell(f fingerprint.Fingerprint) {
-	t.news[f] = true
-	t.onNews()
+func (t *Table) markPending(f fingerprint.Fingerprint) {
+	t.pending[f] = true
+	t.onChange()
 }
 
-// Merge takes in what another instance, or the store, knows, and returns the records of which
-// this was news. They are to be told on where the sender did not tell all itself.
-func (t *Table) Merge(records []Record, now time.Time, tellOn bool) (changed []Record) {
+// Merge merges records from another instance or the store, and returns the records that changed. If
+// forward is set, these are sent on to other instances; it is not needed if the sender reached all of
+// them itself.
+func (t *Table) Merge(records []Record, now time.Time, forward bool) (changed []Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range records {
 		f := records[i].Fingerprint
-		told := t.news[f]
-		t.hear(&records[i], now)
+		wasPending := t.pending[f]
+		t.noteRemoteCrash(&records[i], now)
 		if !t.merge(&records[i], now) {
 			continue
 		}
-		if e := t.records[f]; e != nil { // the table may have no room for it
+		if e := t.records[f]; e != nil { // the table may be full
 			changed = append(changed, e.clone())
 		}
-		if !tellOn && !told {
-			delete(t.news, f)
+		if !forward && !wasPending {
+			delete(t.pending, f)
 		}
 	}
 	return changed
 }
 
-// merge takes one record in; t.mu is held.
+// merge merges one record, and reports whether that added knowledge. t.mu must be held.
 func (t *Table) merge(record *Record, now time.Time) (changed bool) {
 	e := t.records[record.Fingerprint]
 	if e == nil {
@@ -456,40 +469,41 @@
 		}
 	}
 	started := e.Started
-	e.noteCrash(record.Upstream)
-	t.noteProcesses(record, now)
-	t.change(e, func() bool {
+	e.addCrashedUpstream(record.Upstream)
+	t.noteCrashedProcesses(record, now)
+	t.update(e, func() bool {
 		changed = e.Record.merge(record)
 		return changed
 	})
 	if e.Started > started {
-		e.heldUntil = now.Add(trialTimeout)
+		e.trialExpiry = now.Add(trialTimeout)
 	}
 	return changed
 }
 
-// hear notes the crash that another instance's record tells of.
-func (t *Table) hear(record *Record, now time.Time) {
-	if e := t.records[record.Fingerprint]; record.Upstream != "" && (e == nil || record.last() > e.last()) {
-		t.seen.note(record.Upstream, max(record.InARow(), 1)-1, now)
+// noteRemoteCrash adds the last crash of another instance's record to the recent crashes, if it is new.
+// t.mu must be held.
+func (t *Table) noteRemoteCrash(record *Record, now time.Time) {
+	if e := t.records[record.Fingerprint]; record.Upstream != "" && (e == nil || record.lastCrashOrdinal() > e.lastCrashOrdinal()) {
+		t.recent.note(record.Upstream, max(record.InARow(), 1)-1, now)
 	}
 }
 
-// News returns what the other instances are to be told, and forgets it.
+// TakePending removes and returns the records to be sent to the other instances.
 func (t *Table) News() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]Record, 0, len(t.news))
-	for f := range t.news {
+	out := make([]Record, 0, len(t.pending))
+	for f := range t.pending {
 		if e := t.records[f]; e != nil {
 			out = append(out, e.clone())
 		}
 	}
-	clear(t.news)
+	clear(t.pending)
 	return out
 }
 
-// All returns every record.
+// All returns all records.
 func (t *Table) All() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -500,7 +514,7 @@
 	return out
 }
 
-// Condemned returns the records of condemned requests.
+// Condemned returns the records of requests that are condemned at this instance.
 func (t *Table) Condemned() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/quarantine/undecided.go
+++ b/pkg/quarantine/undecided.go
@@ -7,17 +7,17 @@
 	"github.com/lavenderring/lavenderring/pkg/fingerprint"
 )
 
-// Broke notes that the upstream's side of the connection ended before the whole answer, and that
-// nothing tells yet whether its process crashed. What is seen later of the upstream decides it,
-// whoever sees it. The run goes on to count until Crashed or Ended. It reports whether the request is
-// suspected by now.
-func (r Run) Broke(origin Origin, upstream Upstream, now time.Time) (suspected bool) {
+// NoteConnectionEnd records that the upstream ended the connection before its answer was complete, and
+// that it is not known yet whether its process crashed. Later observations of the upstream, by any
+// instance, decide that. The run remains active until NoteCrash or NoteEnd. NoteConnectionEnd reports
+// whether the request is now suspected or condemned.
+func (r Run) NoteConnectionEnd(origin Origin, upstream Upstream, now time.Time) (suspected bool) {
 	t := r.table
 	f := r.request.Fingerprint()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
-	key := t.keyOf(&r, f, upstream)
+	key := t.endingKeyFor(&r, f, upstream)
 	t.merge(&Record{
 		Fingerprint: f,
 		Account:     origin.Account,
@@ -28,20 +28,20 @@
 	return e != nil && e.StateAt(t.self) != Clear
 }
 
-// keyOf returns the key of a run's ending; t.mu is held. What was settled before the run began was not
-// looked up then if nothing was watched.
-func (t *Table) keyOf(r *Run, f fingerprint.Fingerprint, upstream Upstream) endingKey {
-	turn := r.turn
+// endingKeyFor returns the key of a run's ending. A run that began while nothing was watched did not look
+// up the settled endings, so they are considered here. t.mu must be held.
+func (t *Table) endingKeyFor(r *Run, f fingerprint.Fingerprint, upstream Upstream) endingKey {
+	turn := r.knownEndings
 	if e := t.records[f]; e != nil {
-		turn = max(turn, e.settledTurn())
+		turn = max(turn, e.lastSettledTurn())
 	}
 	return endingKey{Turn: turn + 1, Instance: t.self, Upstream: upstream}
 }
 
-// Undecided reports whether any ending is undecided at an address. It takes no lock where none is
-// at any address.
+// HasUndecided reports whether any ending at an address is undecided. It takes no lock if there are no
+// undecided endings at all.
 func (t *Table) Undecided(address string) bool {
-	if t.open.Load() == 0 {
+	if t.numUndecidedAddresses.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
@@ -49,10 +49,11 @@
 	return len(t.undecided[address]) > 0
 }
 
-// Answered notes that an incarnation answered at an address what it was asked after a time: its
-// connections that ended before then ended alone, and the processes of all others have ended.
+// NoteAnswer records that an incarnation at an address answered a request sent at since. Endings by this
+// incarnation before that time were not crashes, since it is still running; those by other incarnations
+// were, since their processes are gone.
 func (t *Table) Answered(address, incarnation string, since time.Time) {
-	if t.open.Load() == 0 || incarnation == "" {
+	if t.numUndecidedAddresses.Load() == 0 || incarnation == "" {
 		return
 	}
 	t.decide(address, func(key endingKey, e ending) (decided, crashed bool) {
@@ -60,10 +61,10 @@
 	})
 }
 
-// Ended notes that an incarnation was not at an address any more at a time, and had not said that it
-// leaves.
+// NoteGone records that an incarnation was gone from an address at a time, without having announced that
+// it leaves.
 func (t *Table) Ended(address, incarnation string, at time.Time) {
-	if t.open.Load() == 0 {
+	if t.numUndecidedAddresses.Load() == 0 {
 		return
 	}
 	t.decide(address, func(key endingKey, e ending) (decided, crashed bool) {
@@ -71,7 +72,7 @@
 	})
 }
 
-// decide brings evidence to the undecided endings at an address.
+// decide applies evidence to the undecided endings at an address.
 func (t *Table) decide(address string, evidence func(endingKey, ending) (decided, crashed bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,13 +80,13 @@
 		e := t.records[f]
 		for _, key := range e.orderedEndings() {
 			known := e.endings[key]
-			if key.Address != address || !known.undecided() {
+			if key.Address != address || !known.isUndecided() {
 				continue
 			}
 			switch decided, crashed := evidence(key, known); {
 			case !decided:
 			case crashed:
-				t.crashed(e, key, known.At)
+				t.confirmCrash(e, key, known.At)
 			default:
 				t.merge(&Record{Fingerprint: f, endings: map[endingKey]ending{key: {At: known.At, Refuted: true}}}, known.At)
 			}
@@ -93,35 +94,36 @@
 	}
 }
 
-// crashed takes in that an undecided ending was a crash, and judges it; t.mu is held.
-func (t *Table) crashed(e *entry, key endingKey, at time.Time) {
+// confirmCrash records that an undecided ending was a crash, and judges it. t.mu must be held.
+func (t *Table) confirmCrash(e *entry, key endingKey, at time.Time) {
 	ordinal := e.crashOrdinal(key)
 	first := ordinal <= e.Cleared+1
-	t.seen.note(key.ID, ordinal-1-min(ordinal-1, e.Cleared), at)
-	e.noteCrash(key.ID)
-	alone := !first && t.isAlone(e, at)
+	t.recent.note(key.ID, ordinal-1-min(ordinal-1, e.Cleared), at)
+	e.addCrashedUpstream(key.ID)
+	alone := !first && t.isIsolated(e, at)
 	t.merge(&Record{
 		Fingerprint: e.Fingerprint,
 		Crashes:     map[string]uint32{key.Instance: ordinal},
 		LastCrash:   at,
 		Upstream:    key.ID,
-		endings:     map[endingKey]ending{key: {At: at, Crash: ordinal, Alone: alone}},
+		endings:     map[endingKey]ending{key: {At: at, Crash: ordinal, Isolated: alone}},
 	}, at)
 	t.condemn(e, at)
-	t.onDecided(e.clone())
+	t.onCrashConfirmed(e.clone())
 }
 
-// undecidedBeside reports whether at a time a connection to another upstream ended, which nothing
-// that ran there explains: the upstreams may have a cause in common; t.mu is held.
-func (t *Table) undecidedBeside(of *entry, at time.Time) bool {
+// hasConcurrentUndecided reports whether a connection to another upstream ended within JudgeDelay of a
+// time, is undecided, and no request that ran there explains it: the upstreams may share a cause. t.mu
+// must be held.
+func (t *Table) hasConcurrentUndecided(of *entry, at time.Time) bool {
 	for _, requests := range t.undecided {
 		for f := range requests {
 			e := t.records[f]
-			if e == of || e.InARow() >= explains {
+			if e == of || e.InARow() >= minExplainingCrashes {
 				continue
 			}
 			for key, known := range e.endings {
-				if known.undecided() && !of.crashed[key.ID] && known.At.Sub(at).Abs() <= JudgeAfter {
+				if known.isUndecided() && !of.crashedUpstreams[key.ID] && known.At.Sub(at).Abs() <= JudgeAfter {
 					return true
 				}
 			}
@@ -130,34 +132,34 @@
 	return false
 }
 
-// index keeps the index of undecided endings; t.mu is held.
-func (t *Table) index(e *entry) {
-	for _, address := range e.undecidedAt {
+// updateIndex brings Table.undecided up to date with the endings of an entry. t.mu must be held.
+func (t *Table) updateIndex(e *entry) {
+	for _, address := range e.indexedAddresses {
 		delete(t.undecided[address], e.Fingerprint)
 		if len(t.undecided[address]) == 0 {
 			delete(t.undecided, address)
 		}
 	}
-	e.undecidedAt = e.undecidedAt[:0]
+	e.indexedAddresses = e.indexedAddresses[:0]
 	for key, known := range e.endings {
-		if !known.undecided() || slices.Contains(e.undecidedAt, key.Address) {
+		if !known.isUndecided() || slices.Contains(e.indexedAddresses, key.Address) {
 			continue
 		}
-		e.undecidedAt = append(e.undecidedAt, key.Address)
+		e.indexedAddresses = append(e.indexedAddresses, key.Address)
 		if t.undecided[key.Address] == nil {
 			t.undecided[key.Address] = map[fingerprint.Fingerprint]bool{}
 		}
 		t.undecided[key.Address][e.Fingerprint] = true
-		if until := known.At.Add(endingHolds); t.expires.IsZero() || until.Before(t.expires) {
-			t.expires = until
+		if until := known.At.Add(endingLifetime); t.nextExpiry.IsZero() || until.Before(t.nextExpiry) {
+			t.nextExpiry = until
 		}
 	}
-	t.open.Store(int64(len(t.undecided)))
+	t.numUndecidedAddresses.Store(int64(len(t.undecided)))
 }
 
-// Expire forgets endings that say nothing any more.
+// Expire removes expired endings.
 func (t *Table) Expire(now time.Time) {
-	if t.open.Load() == 0 {
+	if t.numUndecidedAddresses.Load() == 0 {
 		return
 	}
 	t.mu.Lock()
@@ -165,20 +167,20 @@
 	t.expire(now)
 }
 
-// expire is Expire with t.mu held.
+// expire is Expire for callers that hold t.mu.
 func (t *Table) expire(now time.Time) {
-	if t.expires.IsZero() || now.Before(t.expires) {
+	if t.nextExpiry.IsZero() || now.Before(t.nextExpiry) {
 		return
 	}
-	t.expires = time.Time{}
+	t.nextExpiry = time.Time{}
 	for _, e := range t.records {
 		if len(e.endings) == 0 {
 			continue
 		}
-		before := e.watched()
-		e.forgetEndings(now)
-		e.kept = 0
-		t.count(before, e.watched())
-		t.index(e)
+		before := e.isWatched()
+		e.expireEndings(now)
+		e.cachedHash = 0
+		t.countWatched(before, e.isWatched())
+		t.updateIndex(e)
 	}
 }
--- a/pkg/quarantine/wire.go
+++ b/pkg/quarantine/wire.go
@@ -10,26 +10,27 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine/quarantinepb"
 )
 
-// mostOrdinal bounds what an ordinal may say: one near the highest number could never be cleared.
-const mostOrdinal = 1 << 30
+// maxOrdinal limits ordinals in received records: a crash with an ordinal near the maximum of uint32
+// could never be cleared.
+const maxOrdinal = 1 << 30
 
-// mostName bounds names in records, in bytes.
-const mostName = 256
+// maxNameBytes limits the length of names in received records.
+const maxNameBytes = 256
 
-// BadRecordError tells what is wrong with a record of another instance.
+// BadRecordError reports an invalid record received from another instance.
 type BadRecordError struct {
-	// Fingerprint is what the record has for one.
+	// Fingerprint is the record's fingerprint as received; it may be malformed.
 	Fingerprint []byte
-	// Fault says what is wrong.
-	Fault string
+	// Reason describes why the record is invalid.
+	Reason string
 }
 
 // Error implements error.
 func (e *BadRecordError) Error() string {
-	return fmt.Sprintf("quarantine record %x: %s", e.Fingerprint, e.Fault)
+	return fmt.Sprintf("quarantine record %x: %s", e.Fingerprint, e.Reason)
 }
 
-// Encode returns records as instances send them at a time.
+// Encode converts records to messages. The ages of their endings are relative to now.
 func Encode(records []Record, now time.Time) []*quarantinepb.Record {
 	out := make([]*quarantinepb.Record, 0, len(records))
 	for i := range records {
@@ -44,7 +45,7 @@
 		Account:     r.Account,
 		Route:       r.Route,
 		Cleared:     r.Cleared,
-		Alone:       r.Alone,
+		Alone:       r.Isolated,
 		Verdict:     r.Verdict,
 		Started:     r.Started,
 		Ended:       r.Ended,
@@ -65,18 +66,18 @@
 			AgeMs:       uint32(max(now.Sub(e.At), 0).Milliseconds()),
 			Crash:       e.Crash,
 			Refuted:     e.Refuted,
-			Alone:       e.Alone,
+			Alone:       e.Isolated,
 		})
 	}
 	return m
 }
 
-// Decode reads another instance's records, which came at a time. Those that cannot be used are
-// passed over and told as *BadRecordError.
+// Decode converts messages that were received at now to records. Invalid ones are skipped and reported
+// as *BadRecordError.
 func Decode(messages []*quarantinepb.Record, now time.Time) (records []Record, bad []error) {
 	for _, m := range messages {
-		if fault := faultOf(m); fault != "" {
-			bad = append(bad, &BadRecordError{Fingerprint: m.GetFingerprint(), Fault: fault})
+		if reason := validate(m); reason != "" {
+			bad = append(bad, &BadRecordError{Fingerprint: m.GetFingerprint(), Reason: reason})
 			continue
 		}
 		r := Record{
@@ -85,7 +86,7 @@
 			Route:       m.Route,
 			Crashes:     map[string]uint32{},
 			Cleared:     m.Cleared,
-			Alone:       m.Alone,
+			Isolated:    m.Alone,
 			Verdict:     m.Verdict,
 			Started:     m.Started,
 			Ended:       m.Ended,
@@ -101,7 +102,7 @@
 	return records, bad
 }
 
-// decodeEndings reads the endings of a record; those that say nothing any more are passed over.
+// decodeEndings converts the endings of a record, skipping expired ones.
 func decodeEndings(messages []*quarantinepb.Ending, now time.Time) map[endingKey]ending {
 	if len(messages) == 0 {
 		return nil
@@ -109,40 +110,40 @@
 	endings := map[endingKey]ending{}
 	for _, m := range messages {
 		age := time.Duration(m.AgeMs) * time.Millisecond
-		if age > endingHolds {
+		if age > endingLifetime {
 			continue
 		}
 		upstream := Upstream{ID: m.Upstream, Address: m.Address, Incarnation: m.Incarnation}
 		key := endingKey{Turn: m.Turn, Instance: m.Instance, Upstream: upstream}
-		endings[key] = ending{At: now.Add(-age), Crash: m.Crash, Refuted: m.Refuted, Alone: m.Alone}
+		endings[key] = ending{At: now.Add(-age), Crash: m.Crash, Refuted: m.Refuted, Isolated: m.Alone}
 	}
 	return endings
 }
 
-// faultOf says what is wrong with a record; empty if nothing is.
-func faultOf(m *quarantinepb.Record) string {
+// validate returns why a record is invalid; empty if it is valid.
+func validate(m *quarantinepb.Record) string {
 	switch {
 	case len(m.GetFingerprint()) != fingerprint.Size:
-		return "the fingerprint has another length"
-	case max(len(m.Account), len(m.Route), len(m.Upstream)) > mostName:
-		return "a name is too long"
-	case len(m.Crashes) > mostReporters:
-		return "too many instances are named"
-	case max(m.Cleared, m.Alone, m.Verdict, m.Started, m.Ended) > mostOrdinal:
-		return "an ordinal is out of range"
+		return fmt.Sprintf("fingerprint has %d bytes, want %d", len(m.GetFingerprint()), fingerprint.Size)
+	case max(len(m.Account), len(m.Route), len(m.Upstream)) > maxNameBytes:
+		return fmt.Sprintf("account, route or upstream name is longer than %d bytes", maxNameBytes)
+	case len(m.Crashes) > maxReporters:
+		return fmt.Sprintf("crashes of %d instances, at most %d allowed", len(m.Crashes), maxReporters)
+	case max(m.Cleared, m.Alone, m.Verdict, m.Started, m.Ended) > maxOrdinal:
+		return fmt.Sprintf("ordinal is greater than %d", maxOrdinal)
 	}
 	for _, crashes := range m.Crashes {
-		if crashes.GetInstance() == "" || len(crashes.Instance) > mostName || crashes.Ordinal > mostOrdinal {
-			return "a crash is unusable"
+		if crashes.GetInstance() == "" || len(crashes.Instance) > maxNameBytes || crashes.Ordinal > maxOrdinal {
+			return "crash has an invalid instance name or ordinal"
 		}
 	}
-	if len(m.Endings) > mostEndings {
-		return "too many endings"
+	if len(m.Endings) > maxEndings {
+		return fmt.Sprintf("%d endings, at most %d allowed", len(m.Endings), maxEndings)
 	}
 	for _, e := range m.Endings {
 		longest := max(len(e.GetInstance()), len(e.GetUpstream()), len(e.GetAddress()), len(e.GetIncarnation()))
-		if e.GetInstance() == "" || longest > mostName || max(e.GetTurn(), e.GetCrash()) > mostOrdinal {
-			return "an ending is unusable"
+		if e.GetInstance() == "" || longest > maxNameBytes || max(e.GetTurn(), e.GetCrash()) > maxOrdinal {
+			return "ending has an invalid name or ordinal"
 		}
 	}
 	return ""
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -63,7 +63,7 @@
 try kept-views-follow-the-entries pkg/member/state.go 's/\t\tt\.views = views\{\}\n//' pkg/member TestKeptViewsAreThoseOfTheEntries
 try others-take-publishing-over pkg/follow/publisher.go 's/const publishers = 20/const publishers = 3/' pkg/follow TestStoreThatRefusesItsReadersIsReadByAnother
 try who-lacks-nothing-gets-nothing pkg/follow/handon.go 's/ && since\.Before\(upTo\)//' pkg/follow TestCopyIsHandedOnAsItCameAndToThoseThatLackIt
-try kept-hash-follows-the-record pkg/quarantine/table.go 's/\te\.kept = 0\n//' pkg/quarantine TestKeptHashIsThatOfTheRecord
+try kept-hash-follows-the-record pkg/quarantine/table.go 's/\te\.cachedHash = 0\n//' pkg/quarantine TestKeptHashIsThatOfTheRecord
 try who-needs-the-store-probes-it pkg/follow/publisher.go 's/if !follower\.needsStore\(\) \{/if false {/' pkg/follow TestCopyThatNeedsTheStoreProbesIt
 try lists-are-paced pkg/follow/follow.go 's/\tpause\.For\(ctx, gather\)\n\treturn nil\n\}\n\n\/\/ awaits/\treturn nil\n}\n\n\/\/ awaits/' pkg/follow TestPositionThatNeverComesCostsFewCalls
 try questions-in-vain-hold-nothing-back pkg/follow/handon.go 's/p\.once\(p\.asking, /p.once(p.catching, /' pkg/follow TestChangeIsFetchedBesideAQuestionInVain
@@ -110,14 +110,14 @@
 try documents-are-watched-shortly pkg/configsync/syncer.go 's/watchWait = 2 \* time/watchWait = 20 * time/' pkg/configsync TestLostWatchHidesNoDocument
 try faulty-entry-is-out platform/copies.go 's/c\.Registry\.Discard\(id\)\n\t\treturn/return/' platform TestFaultyEntriesAreToldOnceAndTheOthersHold
 q=pkg/quarantine
-try three-crashes-condemn $q/record.go 's/return inARow >= CondemnAtMost \|\| \(inARow > 0 && r\.Verdict > r\.Cleared\)/return inARow < 0/' test TestRequestThatCrashesUpstreamsIsSentOnAFewTimesOnly
+try three-crashes-condemn $q/record.go 's/return consecutive >= CondemnAtMost \|\| \(consecutive > 0 && r\.Verdict > r\.Cleared\)/return consecutive < 0/' test TestRequestThatCrashesUpstreamsIsSentOnAFewTimesOnly
 try own-door-counts-crashes pkg/entry/crash.go 's/evidence = quarantine\.(ConnectionEnded|NoAnswer)/evidence = quarantine.NoEvidence/g' test TestOwnDoorSendsAFatalRequestAFewTimesOnly
 try crash-is-no-reset pkg/httpconn/lookout.go 's/return Answering/return Crashed/' pkg/httpconn TestLookoutTellsCrashedFromReset
-try suspects-run-one-at-a-time $q/table.go 's/e\.Started > e\.Ended && now\.Before\(e\.heldUntil\)/false/' $q TestSuspectedRequestsRunOneAtATime
-try crashes-are-told $q/spread.go 's/\t\t\ts\.tell\(ctx\)\n//; s/\t\t\ts\.compare\(ctx, address\)\n/\t\t\t_ = address\n/' $q TestFewUpstreamsCrashUnderOneRequest
+try suspects-run-one-at-a-time $q/table.go 's/e\.Started > e\.Ended && now\.Before\(e\.trialExpiry\)/false/' $q TestSuspectedRequestsRunOneAtATime
+try crashes-are-told $q/spread.go 's/\t\t\ts\.push\(ctx\)\n//; s/\t\t\ts\.compare\(ctx, address\)\n/\t\t\t_ = address\n/' $q TestFewUpstreamsCrashUnderOneRequest
 try differing-tables-are-compared $q/spread.go 's/\t\t\ts\.compare\(ctx, address\)\n/\t\t\t_ = address\n/' $q TestInstanceThatStartsLearnsWhatIsCondemned
-try answers-clear $q/table.go 's/return raise\(&e\.Cleared, e\.last\(\)\) \|\| ended \|\| refuted/return ended || refuted/' $q TestAnswerClearsASuspectedRequest
-try crashes-together-condemn-nobody $q/table.go 's/!t\.seen\.othersAt\(e\.crashed, at\)/true/' $q TestManyUpstreamsThatCrashTogetherCondemnNobody
+try answers-clear $q/table.go 's/return raise\(&e\.Cleared, e\.lastCrashOrdinal\(\)\) \|\| ended \|\| refuted/return ended || refuted/' $q TestAnswerClearsASuspectedRequest
+try crashes-together-condemn-nobody $q/table.go 's/!t\.recent\.hasUnexplainedAt\(e\.crashedUpstreams, at\)/true/' $q TestManyUpstreamsThatCrashTogetherCondemnNobody
 try one-word-condemns-nobody $q/record.go 's/reporters > 1 \|\| r\.Crashes\[instance\] > r\.Cleared/true/' $q TestWordOfOneInstanceDoesNotCondemn
 try condemned-are-not-evicted $q/bound.go 's/ \|\| e\.IsCondemned\(\)//' $q TestTableFullOfCondemnedKeepsThem
 try verdicts-are-stored-again pkg/router/era.go 's/\tr\.quarantine\.StoreAgain\(\)\n//' test TestCondemnedRequestStaysSoAfterALossOfAll
