--- a/pkg/quarantine/keeper/keeper.go
+++ b/pkg/quarantine/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper joins an instance's quarantine to the other instances, the platform's store and
-// the log.
+// Package keeper connects an instance's quarantine table to the other instances, the platform's store
+// and the event log.
 package keeper
 
 import (
@@ -18,13 +18,13 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Exchange sends records to the instance at an address and returns its answer, within a bounded
-// time.
+// Exchange sends records to the instance at an address and returns its reply. It returns within a
+// bounded time.
 type Exchange func(ctx context.Context, address string, records *quarantinepb.Records) (*quarantinepb.Records, error)
 
-// Deps is what a keeper works with.
+// Deps holds the dependencies of a Keeper.
 type Deps struct {
-	// Self is the instance's name, which its next process keeps.
+	// Self is the instance's name, which stays the same after a restart.
 	Self     string
 	Members  *member.Table
 	Exchange Exchange
@@ -34,43 +34,43 @@
 	Now      func() time.Time
 }
 
-// Keeper keeps one instance's quarantine. It is safe for concurrent use.
+// Keeper maintains the quarantine of one instance. It is safe for concurrent use.
 type Keeper struct {
 	Deps
 	spreader *quarantine.Spreader
-	// verdicts takes that a condemned request is to be stored.
-	verdicts *ring.Ring[struct{}]
-	// decided takes crashes that were known late, to be told in the log.
-	decided *ring.Ring[quarantine.Record]
-	meters  meters
+	// storeRequests makes Run store the verdicts.
+	storeRequests *ring.Ring[struct{}]
+	// lateCrashes holds crashes that were detected late and are still to be logged.
+	lateCrashes *ring.Ring[quarantine.Record]
+	counters    counters
 }
 
-type meters struct{ learned, released, stored, decided metrics.Counter }
+type counters struct{ learned, released, stored, lateCrashes metrics.Counter }
 
-// mostDecided bounds the late crashes that wait for the log.
-const mostDecided = 64
+// maxLateCrashes limits the late crashes that wait to be logged.
+const maxLateCrashes = 64
 
-// New returns a keeper; Run and Spread must be called.
+// New returns a keeper. The caller must run both Run and Spread.
 func New(deps Deps) *Keeper {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter(name, deps.Metrics) }
 	k := &Keeper{
-		Deps:     deps,
-		verdicts: ring.New[struct{}](1),
-		decided:  ring.New[quarantine.Record](mostDecided),
-		meters: meters{
-			learned:  counter("quarantine.learned"),
-			released: counter("quarantine.released"),
-			stored:   counter("quarantine.stored"),
-			decided:  counter("quarantine.decided_late"),
+		Deps:          deps,
+		storeRequests: ring.New[struct{}](1),
+		lateCrashes:   ring.New[quarantine.Record](maxLateCrashes),
+		counters: counters{
+			learned:     counter("quarantine.learned"),
+			released:    counter("quarantine.released"),
+			stored:      counter("quarantine.stored"),
+			lateCrashes: counter("quarantine.decided_late"),
 		},
 	}
-	k.spreader = quarantine.NewSpreader(deps.Self, peers{k}, deps.Now, k.learned, k.fault)
-	k.Table().OnCondemned(k.requestStoring)
-	k.Table().OnCrashConfirmed(func(r quarantine.Record) { k.decided.TryPut(r) })
+	k.spreader = quarantine.NewSpreader(deps.Self, peers{k}, deps.Now, k.onLearned, k.logDecodeError)
+	k.Table().OnCondemned(k.requestStore)
+	k.Table().OnCrashConfirmed(func(r quarantine.Record) { k.lateCrashes.TryPut(r) })
 	return k
 }
 
-// Table returns the table that is kept.
+// Table returns the instance's quarantine table.
 func (k *Keeper) Table() *quarantine.Table { return k.spreader.Table() }
 
 // Hash implements member.Quarantine.
@@ -81,94 +81,95 @@
 	k.spreader.ReceiveHash(address, hash, stored)
 }
 
-// Stored reports whether the table has what the store has.
+// Stored reports whether the table contains what the store has.
 func (k *Keeper) Stored() bool { return k.spreader.Stored() }
 
-// Compared reports whether the table has been compared with another instance's.
+// Compared reports whether the table has been compared with another instance's at least once.
 func (k *Keeper) Compared() bool { return k.spreader.Compared() }
 
-// Spread keeps the other instances informed until ctx ends.
+// Spread synchronizes the table with the other instances until ctx ends.
 func (k *Keeper) Spread(ctx context.Context) { k.spreader.Run(ctx) }
 
-// Run stores verdicts and tells of crashes that were known late, until ctx ends.
+// Run stores verdicts and logs crashes that were detected late, until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.verdicts.Items():
+		case <-k.storeRequests.Items():
 			k.storeVerdicts(ctx)
-		case r := <-k.decided.Items():
-			k.noteDecided(&r)
+		case r := <-k.lateCrashes.Items():
+			k.logLateCrash(&r)
 		}
 	}
 }
 
-// noteDecided tells of a crash that was known only when the upstream's next incarnation was seen.
-func (k *Keeper) noteDecided(r *quarantine.Record) {
-	k.meters.decided.Inc(1)
+// logLateCrash logs a crash that was detected only by observing that the upstream's process was gone or
+// had been replaced.
+func (k *Keeper) logLateCrash(r *quarantine.Record) {
+	k.counters.lateCrashes.Inc(1)
 	k.Log.Event(eventlog.RequestSuspected, "", eventlog.Fields{
 		"fingerprint": r.Fingerprint.String(), "crashes": r.InARow(), "upstream": r.Upstream, "late": true,
 		"condemned": r.StateAt(k.Self) == quarantine.Condemned,
 	})
 }
 
-// Release has a request run again like any other, at all instances. It reports whether there was
-// one.
+// Release clears a watched request, so that it runs without restrictions at all instances. It reports
+// whether the request was watched.
 func (k *Keeper) Release(f fingerprint.Fingerprint) bool {
 	if !k.Table().Release(f) {
 		return false
 	}
-	k.meters.released.Inc(1)
+	k.counters.released.Inc(1)
 	k.Log.Event(eventlog.RequestReleased, "", eventlog.Fields{"fingerprint": f.String()})
-	k.requestStoring()
+	k.requestStore()
 	return true
 }
 
-// mostNamed bounds the requests that one event names.
-const mostNamed = 8
+// maxLoggedRequests limits the requests listed in one event.
+const maxLoggedRequests = 8
 
-func (k *Keeper) learned(records []quarantine.Record) {
-	k.meters.learned.Inc(int64(len(records)))
+func (k *Keeper) onLearned(records []quarantine.Record) {
+	k.counters.learned.Inc(int64(len(records)))
 	var condemned []string
 	for i := range records {
-		if records[i].StateAt(k.Self) == quarantine.Condemned && len(condemned) < mostNamed {
+		if records[i].StateAt(k.Self) == quarantine.Condemned && len(condemned) < maxLoggedRequests {
 			condemned = append(condemned, records[i].Fingerprint.String())
 		}
 	}
-	if len(condemned) > 0 { // suspicions are many where upstreams crash together, and end soon
+	if len(condemned) > 0 { // suspected requests are not logged: simultaneous crashes cause many, for a short time
 		k.Log.Event(eventlog.QuarantineLearned, "", eventlog.Fields{"condemned": condemned})
 	}
 }
 
-func (k *Keeper) fault(from string, err error) {
+func (k *Keeper) logDecodeError(from string, err error) {
 	k.Log.Event(eventlog.QuarantineFault, "", eventlog.Fields{"step": "decode", "peer": from, "cause": err.Error()})
 }
 
 // peers implements quarantine.Peers.
-type peers struct{ k *Keeper }
+type peers struct{ keeper *Keeper }
 
 // Choose implements quarantine.Peers.
-func (p peers) Choose(most int) (addresses []string, all bool) {
-	others := p.k.Members.Others()
+func (p peers) Choose(limit int) (addresses []string, all bool) {
+	others := p.keeper.Members.Others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	for _, m := range others[:min(most, len(others))] {
+	for _, m := range others[:min(limit, len(others))] {
 		addresses = append(addresses, m.PeerAddress)
 	}
-	return addresses, len(others) <= most
+	return addresses, len(others) <= limit
 }
 
 // Exchange implements quarantine.Peers.
 func (p peers) Exchange(
 	ctx context.Context, address string, records *quarantinepb.Records,
 ) (*quarantinepb.Records, error) {
-	return p.k.Deps.Exchange(ctx, address, records)
+	return p.keeper.Deps.Exchange(ctx, address, records)
 }
 
-// Service answers other instances. It implements the quarantine service.
+// Service handles calls of other instances. It implements the Quarantine service.
 type Service struct{ Keeper *Keeper }
 
-// Exchange implements the quarantine service.
+// Exchange implements the Quarantine service.
 func (s Service) Exchange(_ context.Context, message *quarantinepb.Records) (*quarantinepb.Records, error) {
 	return s.Keeper.spreader.HandleRecords(message), nil
 }
--- a/pkg/quarantine/keeper/verdicts.go
+++ b/pkg/quarantine/keeper/verdicts.go
@@ -17,31 +17,32 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// What the store keeps of condemned requests, for a fleet whose instances were all lost.
+// The store holds the condemned requests, so that they survive the loss of all instances.
 const (
-	// verdictsKey is the object's.
+	// verdictsKey is the key of the stored object.
 	verdictsKey = "quarantine/verdicts"
-	// mostVerdicts bounds the object: the newest ones, some 40 kB.
-	mostVerdicts = 256
-	// storeRetry is the pause before verdicts that could not be stored are stored again.
-	storeRetry = 2 * time.Second
+	// maxStoredVerdicts limits the object to the newest verdicts, about 40 kB.
+	maxStoredVerdicts = 256
+	// storeRetryInterval is the delay before another attempt to store verdicts after a failure.
+	storeRetryInterval = 2 * time.Second
 )
 
-// verdicts is the stored object: a quarantinepb.Records, which JSON carries in base64.
-type verdicts struct {
+// storedVerdicts is the stored object. Records is an encoded quarantinepb.Records, in base64 in the
+// JSON.
+type storedVerdicts struct {
 	Records []byte `json:"records"`
 }
 
-// requestStoring has Run store the verdicts; a full ring says that it will.
-func (k *Keeper) requestStoring() { k.verdicts.TryPut(struct{}{}) }
+// requestStore makes Run store the verdicts. If the ring is full, an earlier request is still waiting.
+func (k *Keeper) requestStore() { k.storeRequests.TryPut(struct{}{}) }
 
-// storeVerdicts brings the stored object up to what this instance knows. Writes merge, so it does
-// not matter who writes, in which order, and whether the store has gone back.
+// storeVerdicts merges what this instance knows into the stored object. Since writes merge, it does not
+// matter which instances write, in which order, or whether the store was restored from an older copy.
 func (k *Keeper) storeVerdicts(ctx context.Context) {
 	err := store.Update(ctx, k.Store, verdictsKey, func(present []byte) ([]byte, error) {
 		stored, err := decodeVerdicts(present)
 		if err != nil {
-			k.fault(verdictsKey, err) // what cannot be read is replaced
+			k.logDecodeError(verdictsKey, err) // an unreadable object is replaced
 		}
 		merged, err := encodeVerdicts(mergeVerdicts(stored, k.Table().All()))
 		if err == nil && bytes.Equal(merged, present) {
@@ -50,17 +51,17 @@
 		return merged, err
 	})
 	if err == nil {
-		k.meters.stored.Inc(1)
+		k.counters.stored.Inc(1)
 		return
 	}
 	k.Log.Event(eventlog.QuarantineFault, "", eventlog.Fields{"step": "store", "cause": err.Error()})
-	if pause.For(ctx, storeRetry) {
-		k.requestStoring()
+	if pause.For(ctx, storeRetryInterval) {
+		k.requestStore()
 	}
 }
 
-// Recover takes in what the store has, and stores what it lacks. A fleet whose instances were all
-// lost knows by it what it had condemned.
+// Recover merges the stored verdicts into the table, and requests storing those that the store lacks.
+// By it, a fleet that lost all its instances learns again which requests are condemned.
 func (k *Keeper) Recover(ctx context.Context) error {
 	object, err := k.Store.Get(ctx, verdictsKey)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -71,30 +72,31 @@
 		return err
 	}
 	if changed := k.Table().Merge(stored, k.Now(), true); len(changed) > 0 {
-		k.learned(changed)
+		k.onLearned(changed)
 	}
 	k.spreader.NoteStored()
 	k.StoreAgain()
 	return nil
 }
 
-// StoreAgain stores the verdicts again, if there are any: the store may have lost them.
+// StoreAgain requests storing the verdicts, if there are any, because the store may have lost them.
 func (k *Keeper) StoreAgain() {
 	if len(k.Table().Condemned()) > 0 {
-		k.requestStoring()
+		k.requestStore()
 	}
 }
 
-// mergeVerdicts returns the condemned requests of both, and those of them that were released.
+// mergeVerdicts returns the merged records of all stored requests, which include released ones, and of
+// the known condemned requests: the maxStoredVerdicts that crashed last.
 func mergeVerdicts(stored, known []quarantine.Record) []quarantine.Record {
 	merged := quarantine.NewTable("", nil)
 	merged.Merge(stored, time.Time{}, false)
-	wanted := map[string]bool{}
+	included := map[string]bool{}
 	for i := range stored {
-		wanted[stored[i].Fingerprint.String()] = true
+		included[stored[i].Fingerprint.String()] = true
 	}
 	for i := range known {
-		if known[i].IsCondemned() || wanted[known[i].Fingerprint.String()] {
+		if known[i].IsCondemned() || included[known[i].Fingerprint.String()] {
 			merged.Merge([]quarantine.Record{known[i].WithoutEndings()}, time.Time{}, false)
 		}
 	}
@@ -105,7 +107,7 @@
 		}
 		return bytes.Compare(a.Fingerprint[:], b.Fingerprint[:])
 	})
-	return out[:min(len(out), mostVerdicts)]
+	return out[:min(len(out), maxStoredVerdicts)]
 }
 
 func encodeVerdicts(records []quarantine.Record) ([]byte, error) {
@@ -113,14 +115,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(verdicts{Records: encoded})
+	return json.Marshal(storedVerdicts{Records: encoded})
 }
 
 func decodeVerdicts(value []byte) ([]quarantine.Record, error) {
 	if len(value) == 0 {
 		return nil, nil
 	}
-	var object verdicts
+	var object storedVerdicts
 	if err := json.Unmarshal(value, &object); err != nil {
 		return nil, err
 	}
--- a/pkg/quarantine/keeper/verdicts_test.go
+++ b/pkg/quarantine/keeper/verdicts_test.go
@@ -10,7 +10,7 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine"
 )
 
-func condemned(n int) quarantine.Record {
+func condemnedRecord(n int) quarantine.Record {
 	return quarantine.Record{
 		Fingerprint: fingerprint.Content("POST", "/", fmt.Append(nil, n)),
 		Account:     "crew",
@@ -21,7 +21,7 @@
 	}
 }
 
-// Guards against two instances that overwrite each other's verdicts, or write again what is stored.
+// Guards against two instances that overwrite each other's verdicts, or rewrite an unchanged object.
 func TestStoredVerdictsAreAUnion(t *testing.T) {
 	encode := func(records []quarantine.Record) []byte {
 		value, err := encodeVerdicts(records)
@@ -30,12 +30,12 @@
 		}
 		return value
 	}
-	first := encode(mergeVerdicts(nil, []quarantine.Record{condemned(1)}))
+	first := encode(mergeVerdicts(nil, []quarantine.Record{condemnedRecord(1)}))
 	stored, err := decodeVerdicts(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	both := mergeVerdicts(stored, []quarantine.Record{condemned(2)})
+	both := mergeVerdicts(stored, []quarantine.Record{condemnedRecord(2)})
 	if len(both) != 2 {
 		t.Fatalf("%d verdicts", len(both))
 	}
@@ -43,32 +43,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(encode(both), encode(mergeVerdicts(again, []quarantine.Record{condemned(1)}))) {
-		t.Error("what is known already changes the object")
+	if !bytes.Equal(encode(both), encode(mergeVerdicts(again, []quarantine.Record{condemnedRecord(1)}))) {
+		t.Error("a verdict that is already stored changes the object")
 	}
 }
 
-// Guards against a released request that the store's older verdict takes out of use again.
+// Guards against a released request that an older verdict in the store condemns again.
 func TestReleaseOutlastsTheStoredVerdict(t *testing.T) {
-	released := condemned(1)
+	released := condemnedRecord(1)
 	released.Cleared = quarantine.CondemnAfter
-	merged := mergeVerdicts([]quarantine.Record{condemned(1)}, []quarantine.Record{released})
+	merged := mergeVerdicts([]quarantine.Record{condemnedRecord(1)}, []quarantine.Record{released})
 	if len(merged) != 1 || merged[0].IsCondemned() {
 		t.Errorf("got %+v", merged)
 	}
 }
 
-// Guards against an object that grows with every verdict, and against suspicions in it.
+// Guards against an object that grows with every verdict, or that contains suspected requests.
 func TestStoredVerdictsAreBounded(t *testing.T) {
-	suspected := condemned(0)
+	suspected := condemnedRecord(0)
 	suspected.Verdict, suspected.Crashes = 0, map[string]uint32{"a": 1}
 	known := []quarantine.Record{suspected}
-	for n := range 2 * mostVerdicts {
-		known = append(known, condemned(n+1))
+	for n := range 2 * maxStoredVerdicts {
+		known = append(known, condemnedRecord(n+1))
 	}
 	merged := mergeVerdicts(nil, known)
-	if len(merged) != mostVerdicts || merged[0].Fingerprint != condemned(2*mostVerdicts).Fingerprint {
-		t.Errorf("%d verdicts, the first of %v", len(merged), merged[0].LastCrash)
+	if len(merged) != maxStoredVerdicts || merged[0].Fingerprint != condemnedRecord(2*maxStoredVerdicts).Fingerprint {
+		t.Errorf("%d verdicts, the first with its last crash at %v", len(merged), merged[0].LastCrash)
 	}
 }
 
@@ -79,6 +79,6 @@
 		}
 	}
 	if _, err := decodeVerdicts([]byte("{")); err == nil {
-		t.Error("no error")
+		t.Error("no error for invalid JSON")
 	}
 }
--- a/pkg/quarantine/keeper/view.go
+++ b/pkg/quarantine/keeper/view.go
@@ -13,33 +13,34 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine"
 )
 
-// View is a record as operators see it.
+// View is a record as shown to operators.
 type View struct {
 	// ID is the request's fingerprint in hexadecimal.
 	ID      string           `json:"id"`
 	State   quarantine.State `json:"state"`
 	Account string           `json:"account"`
 	Route   string           `json:"route"`
-	// Crashes is how many upstreams crashed in a row, Upstream the last of them.
+	// Crashes is the number of consecutive crashes, Upstream the incarnation that crashed last.
 	Crashes  uint32 `json:"crashes"`
 	Upstream string `json:"upstream"`
-	// Undecided is how many more endings of connections may have been crashes.
+	// Undecided is the number of connections that ended and for which it is not known whether the
+	// upstream crashed.
 	Undecided uint32 `json:"undecided,omitempty"`
-	// LastCrash is by the clock of the instance that saw it.
+	// LastCrash is the time of the last crash by the clock of the instance that observed it.
 	LastCrash time.Time `json:"last_crash"`
-	// Instances names those that saw crashes.
+	// Instances lists the instances that observed crashes.
 	Instances []string `json:"instances"`
 }
 
-// Summary is what status shows of the quarantine.
+// Summary is the quarantine's part of the status output.
 type Summary struct {
 	Suspected int `json:"suspected"`
 	Condemned int `json:"condemned"`
-	// Oldest is the last crash of the longest condemned request; zero for none.
+	// Oldest is the earliest last crash of a condemned request; zero if there is none.
 	Oldest time.Time `json:"oldest,omitzero"`
 }
 
-// List returns the watched requests: the condemned first, the last crashed first among equals.
+// List returns the watched requests: condemned ones first, then by last crash, the latest first.
 func (k *Keeper) List() []View {
 	views := []View{}
 	for _, r := range k.Table().All() {
@@ -71,7 +72,7 @@
 	return view
 }
 
-// Summary counts the watched requests.
+// Summary counts the suspected and condemned requests.
 func (k *Keeper) Summary() Summary {
 	var s Summary
 	for _, r := range k.Table().All() {
@@ -88,8 +89,8 @@
 	return s
 }
 
-// ServeList answers GET /quarantine with all watched requests, or with the one of the query
-// parameter id.
+// ServeList answers GET /quarantine with all watched requests, or with only the one whose ID is in the
+// query parameter id.
 func (k *Keeper) ServeList(_ context.Context, c *app.RequestContext) {
 	views := k.List()
 	id := c.Query("id")
@@ -105,7 +106,7 @@
 	c.JSON(consts.StatusOK, views[at])
 }
 
-// ServeRelease answers POST /quarantine/release?id=ID.
+// ServeRelease answers POST /quarantine/release?id=ID, which releases a watched request.
 func (k *Keeper) ServeRelease(_ context.Context, c *app.RequestContext) {
 	decoded, err := hex.DecodeString(c.Query("id"))
 	if err != nil || len(decoded) != fingerprint.Size {
