--- a/pkg/coldlimit/limit.go
+++ b/pkg/coldlimit/limit.go
@@ -1,11 +1,12 @@
-// Package coldlimit bounds what all instances together send to an upstream that has just started,
-// without talk between them.
+// Package coldlimit limits the requests that all instances together send to an upstream that has just
+// started, without communication between them.
 //
-// A cold upstream crashes above a number of requests in any second, from whichever instances, in
-// touch with each other or not. So only a few instances send to it: those first by rendezvous
-// hashing over all that were ever heard of lately, also the silent ones, and each a fixed number in
-// a second. Two instances that know the same names agree; a side of a cut that knows fewer has
-// senders of its own, which is why the bound is divided by the sides that a fleet may be cut into.
+// A cold upstream crashes if it receives more than a certain number of requests in any second, whichever
+// instances send them and whether or not these can reach each other. Therefore only a few instances send
+// to it: those ranked first by rendezvous hashing over all instances seen recently, including ones that
+// are silent now. Each of them sends at most a fixed number of requests per second. Instances that know
+// the same names agree on the senders. A side of a partition that knows fewer names has its own senders,
+// which is why the bound is divided by the number of sides that a partition may have.
 package coldlimit
 
 import (
@@ -18,32 +19,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// How the bound is shared out.
+// Parameters of how the bound is divided among the instances.
 const (
-	// sides is into how many parts that know nothing of each other a fleet may fall at most.
-	sides = 3
-	// window is a little longer than the second over which the bound holds: requests sent apart
-	// may arrive closer to each other.
+	// maxSides is the maximum number of sides of a partition that know nothing of each other.
+	maxSides = 3
+	// window is slightly longer than the second to which the bound applies, because requests may
+	// arrive closer together than they were sent.
 	window = 1100 * time.Millisecond
-	// rememberNames is for how long an instance that is not heard of any more keeps its rank.
-	rememberNames = 10 * time.Minute
-	// mostNames bounds the names remembered; those not heard of for longest go.
-	mostNames = 4096
-	// mostRanks bounds the upstreams whose ranks are kept.
-	mostRanks = 1024
-	// namesRead is how often the names of the living are read.
-	namesRead = 100 * time.Millisecond
+	// nameLifetime is how long an instance that is no longer seen keeps its rank.
+	nameLifetime = 10 * time.Minute
+	// maxNames limits the names that are kept. Above it, names of instances that are no longer live
+	// are removed.
+	maxNames = 4096
+	// maxCachedRanks limits the upstreams for which the rank is cached.
+	maxCachedRanks = 1024
+	// nameRefreshInterval is the minimum time between two reads of the names of live instances.
+	nameRefreshInterval = 100 * time.Millisecond
 )
 
-// Bound is how many requests a cold upstream takes.
+// Bound is the number of requests that a cold upstream can take.
 type Bound struct {
-	// PerSecond is the upstream's own figure; 0 for no bound.
+	// PerSecond is the rate that the upstream states; 0 for no bound.
 	PerSecond float64
-	// Overage times PerSecond, and Slack more, may arrive in any second.
+	// Up to Overage times PerSecond, plus Slack, requests may arrive in any second.
 	Overage, Slack float64
 }
 
-// Most is how many requests may arrive in any second; 0 for no bound.
+// MaxRequests returns how many requests may arrive in any second; 0 for no bound.
 func (b Bound) Most() int {
 	if b.PerSecond <= 0 {
 		return 0
@@ -51,70 +53,71 @@
 	return max(int(math.Floor(b.PerSecond*b.Overage+b.Slack)), 1)
 }
 
-// Limit is one instance's part of the bounds. It is safe for concurrent use.
+// Limit enforces one instance's share of the bounds. It is safe for concurrent use.
 type Limit struct {
-	self  string
-	names func() []string
-	now   func() time.Time
+	self      string
+	liveNames func() []string
+	now       func() time.Time
 
-	// born is when the limit was made: what a process before it sent is not known here.
-	born time.Time
+	// startedAt is when the limit was created. What a previous process of this instance sent is not
+	// known.
+	startedAt time.Time
 
 	mu sync.Mutex
-	// heard holds when a name was last among the living.
-	heard  map[string]time.Time
-	readAt time.Time
-	sent   map[string][]time.Time
-	// ranks holds this instance's rank by upstream, of the names heard.
+	// lastSeen holds when each name was last among the live instances.
+	lastSeen    map[string]time.Time
+	refreshedAt time.Time
+	sent        map[string][]time.Time
+	// ranks caches this instance's rank among the names in lastSeen, by upstream.
 	ranks map[string]int
 }
 
-// New returns the limit of the instance named; names returns those of all living instances, itself
-// included.
-func New(self string, names func() []string, now func() time.Time) *Limit {
+// New returns the limit of the instance named self. liveNames returns the names of all live instances,
+// including self.
+func New(self string, liveNames func() []string, now func() time.Time) *Limit {
 	return &Limit{
-		self:  self,
-		names: names,
-		now:   now,
-		born:  now(),
-		heard: map[string]time.Time{},
-		sent:  map[string][]time.Time{},
-		ranks: map[string]int{},
+		self:      self,
+		liveNames: liveNames,
+		now:       now,
+		startedAt: now(),
+		lastSeen:  map[string]time.Time{},
+		sent:      map[string][]time.Time{},
+		ranks:     map[string]int{},
 	}
 }
 
-// Observe takes in who lives. It is to be called again and again, so that those are known by whom this
-// instance is cut off from later.
+// Observe records which instances are live. It must be called regularly, so that this instance still
+// knows the names of the others after a partition separates it from them.
 func (l *Limit) Observe() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.readNames()
+	l.refreshNames()
 }
 
 // Allows reports whether this instance may send one more request to a cold upstream now.
 func (l *Limit) Allows(upstream string, bound Bound) bool {
-	most := bound.Most()
-	if most == 0 {
+	limit := bound.Most()
+	if limit == 0 {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.readNames()
-	if l.now().Sub(l.born) < window {
+	l.refreshNames()
+	if l.now().Sub(l.startedAt) < window {
 		return false
 	}
-	return len(l.recent(upstream)) < l.share(upstream, most)
+	return len(l.recentlySent(upstream)) < l.share(upstream, limit)
 }
 
-// Sent counts a request that Allows admitted.
+// Sent counts a request that was sent after Allows returned true.
 func (l *Limit) Sent(upstream string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sent[upstream] = append(l.recent(upstream), l.now())
+	l.sent[upstream] = append(l.recentlySent(upstream), l.now())
 }
 
-// recent returns when requests were sent to an upstream within the window; l.mu is held.
-func (l *Limit) recent(upstream string) []time.Time {
+// recentlySent returns the times of the requests sent to an upstream within the window. l.mu must be held.
+func (l *Limit) recentlySent(upstream string) []time.Time {
 	now := l.now()
 	sent := slices.DeleteFunc(l.sent[upstream], func(at time.Time) bool { return now.Sub(at) >= window })
 	if len(sent) == 0 {
@@ -125,29 +128,30 @@
 	return sent
 }
 
-// share is how many requests this instance may send in a window; l.mu is held.
-func (l *Limit) share(upstream string, most int) int {
-	budget := max(most/sides, 1)
-	senders := min(budget, len(l.heard))
+// share returns how many requests this instance may send to an upstream in a window. l.mu must be held.
+func (l *Limit) share(upstream string, limit int) int {
+	total := max(limit/maxSides, 1)
+	senders := min(total, len(l.lastSeen))
 	if l.rank(upstream) >= senders {
 		return 0
 	}
-	return budget / senders
+	return total / senders
 }
 
-// rank is this instance's place among the senders of an upstream; l.mu is held.
+// rank returns this instance's position in the ranking of all known instances for an upstream, starting
+// at 0. l.mu must be held.
 func (l *Limit) rank(upstream string) int {
 	if rank, known := l.ranks[upstream]; known {
 		return rank
 	}
 	own := score(l.self, upstream)
 	rank := 0
-	for name := range l.heard {
+	for name := range l.lastSeen {
 		if cmp.Or(cmp.Compare(score(name, upstream), own), cmp.Compare(name, l.self)) > 0 {
 			rank++
 		}
 	}
-	if len(l.ranks) >= mostRanks {
+	if len(l.ranks) >= maxCachedRanks {
 		clear(l.ranks)
 	}
 	l.ranks[upstream] = rank
@@ -156,22 +160,23 @@
 
 func score(name, upstream string) uint64 { return xxhash.Sum64String(name + "\x00" + upstream) }
 
-// readNames takes in who lives; l.mu is held.
-func (l *Limit) readNames() {
+// refreshNames records which instances are live, at most once per nameRefreshInterval, and removes
+// expired names. l.mu must be held.
+func (l *Limit) refreshNames() {
 	now := l.now()
-	if !l.readAt.IsZero() && now.Sub(l.readAt) < namesRead {
+	if !l.refreshedAt.IsZero() && now.Sub(l.refreshedAt) < nameRefreshInterval {
 		return
 	}
-	l.readAt = now
-	before := len(l.heard)
-	l.heard[l.self] = now
-	for _, name := range l.names() {
-		l.heard[name] = now
+	l.refreshedAt = now
+	before := len(l.lastSeen)
+	l.lastSeen[l.self] = now
+	for _, name := range l.liveNames() {
+		l.lastSeen[name] = now
 	}
-	changed := len(l.heard) != before
-	for name, at := range l.heard {
-		if now.Sub(at) > rememberNames || (len(l.heard) > mostNames && at.Before(now)) {
-			delete(l.heard, name)
+	changed := len(l.lastSeen) != before
+	for name, at := range l.lastSeen {
+		if now.Sub(at) > nameLifetime || (len(l.lastSeen) > maxNames && at.Before(now)) {
+			delete(l.lastSeen, name)
 			changed = true
 		}
 	}
--- a/pkg/coldlimit/limit_test.go
+++ b/pkg/coldlimit/limit_test.go
@@ -8,68 +8,69 @@
 	"time"
 )
 
-// engines is the bound of the users' engines.
-var engines = Bound{PerSecond: 12, Overage: 1.5, Slack: 5}
+// engineBound is the bound of the users' model engines.
+var engineBound = Bound{PerSecond: 12, Overage: 1.5, Slack: 5}
 
-// history is a fleet in virtual time that sends to one cold upstream as fast as it may.
-type history struct {
-	now   time.Time
-	rng   *rand.Rand
-	limit []*Limit
-	// side says which instances know of each other.
-	side   []int
-	bySide map[int][]string
-	sent   []time.Time
+// simulation is a fleet in virtual time that sends to one cold upstream as fast as it is allowed to.
+type simulation struct {
+	now    time.Time
+	rng    *rand.Rand
+	limits []*Limit
+	// sides holds the side of the partition of each instance. Only instances on the same side know
+	// each other.
+	sides       []int
+	namesBySide map[int][]string
+	sent        []time.Time
 }
 
-func newHistory(size int, seed uint64) *history {
-	h := &history{now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), side: make([]int, size)}
-	h.cut(func(int) int { return 0 })
+func newSimulation(size int, seed uint64) *simulation {
+	h := &simulation{now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), sides: make([]int, size)}
+	h.partition(func(int) int { return 0 })
 	for n := range size {
-		h.limit = append(h.limit, h.start(n))
+		h.limits = append(h.limits, h.start(n))
 	}
 	h.observe()
 	return h
 }
 
-// observe has all read who lives, as they do again and again.
-func (h *history) observe() {
-	for _, l := range h.limit {
+// observe makes all instances record which instances are live, as they do regularly.
+func (h *simulation) observe() {
+	for _, l := range h.limits {
 		l.Observe()
 	}
 }
 
-// start returns the limit of an instance that knows nothing yet.
-func (h *history) start(n int) *Limit {
-	return New(fmt.Sprint("i", n), func() []string { return h.known(n) }, func() time.Time { return h.now })
+// start returns the limit of an instance that has just started and knows no other instances yet.
+func (h *simulation) start(n int) *Limit {
+	return New(fmt.Sprint("i", n), func() []string { return h.knownNames(n) }, func() time.Time { return h.now })
 }
 
-func (h *history) known(n int) []string { return h.bySide[h.side[n]] }
+func (h *simulation) knownNames(n int) []string { return h.namesBySide[h.sides[n]] }
 
-// cut has the instances know those of their side only.
-func (h *history) cut(sideOf func(n int) int) {
-	h.bySide = map[int][]string{}
-	for n := range h.side {
-		h.side[n] = sideOf(n)
-		h.bySide[h.side[n]] = append(h.bySide[h.side[n]], fmt.Sprint("i", n))
+// partition makes the instances know only those on their own side.
+func (h *simulation) partition(sideOf func(n int) int) {
+	h.namesBySide = map[int][]string{}
+	for n := range h.sides {
+		h.sides[n] = sideOf(n)
+		h.namesBySide[h.sides[n]] = append(h.namesBySide[h.sides[n]], fmt.Sprint("i", n))
 	}
 }
 
-// run sends from instances drawn at random for a time.
-func (h *history) run(lasts time.Duration, perSecond int) {
+// run sends requests from randomly chosen instances for a time.
+func (h *simulation) run(duration time.Duration, perSecond int) {
 	pause := time.Second / time.Duration(perSecond)
-	for range int(lasts / pause) {
+	for range int(duration / pause) {
 		h.now = h.now.Add(pause)
-		l := h.limit[h.rng.IntN(len(h.limit))]
-		if l.Allows("cold", engines) {
+		l := h.limits[h.rng.IntN(len(h.limits))]
+		if l.Allows("cold", engineBound) {
 			l.Sent("cold")
 			h.sent = append(h.sent, h.now.Add(time.Duration(h.rng.Int64N(int64(20*time.Millisecond)))))
 		}
 	}
 }
 
-// worstSecond is the most that arrived within a second.
-func (h *history) worstSecond() int {
+// worstSecond returns the maximum number of requests that arrived within a second.
+func (h *simulation) worstSecond() int {
 	worst := 0
 	slices.SortFunc(h.sent, time.Time.Compare)
 	first := 0
@@ -82,20 +83,21 @@
 	return worst
 }
 
-// Guards against instances that each keep to a share and together exceed the bound: cuts into as many
-// sides as there may be, starts that know nothing, deaths, at four times the load.
+// Guards against instances that each stay within their share but together exceed the bound, under
+// partitions with up to maxSides sides, loss of all instances and restarts without knowledge of the
+// others, and at a load many times the bound.
 func TestAllInstancesTogetherStayWithinTheBound(t *testing.T) {
 	for _, size := range []int{1, 2, 7, 90, 300} {
 		worst := 0
 		for seed := range uint64(20) {
-			h := newHistory(size, seed)
+			h := newSimulation(size, seed)
 			h.run(time.Second, 400)
 			for range 3 {
-				parts := 1 + h.rng.IntN(sides)
-				h.cut(func(int) int { return h.rng.IntN(parts) })
+				numSides := 1 + h.rng.IntN(maxSides)
+				h.partition(func(int) int { return h.rng.IntN(numSides) })
 				if h.rng.IntN(2) == 0 {
-					for n := range h.limit {
-						h.limit[n] = h.start(n) // all are lost and know their side only
+					for n := range h.limits {
+						h.limits[n] = h.start(n) // all instances restart and know only their side
 					}
 				}
 				h.observe()
@@ -103,17 +105,18 @@
 			}
 			worst = max(worst, h.worstSecond())
 		}
-		if worst > engines.Most() {
-			t.Errorf("%d instances: %d in a second, %d allowed", size, worst, engines.Most())
+		if worst > engineBound.Most() {
+			t.Errorf("%d instances: %d requests in a second, %d allowed", size, worst, engineBound.Most())
 		}
-		t.Logf("%d instances: %d in the worst second", size, worst)
+		t.Logf("%d instances: %d requests in the worst second", size, worst)
 	}
 }
 
-// Guards against a bound that nobody uses: a cold upstream carries a part of its load all the time.
+// Guards against a bound of which hardly anything is used: a cold upstream must receive part of its load
+// all the time.
 func TestColdUpstreamGetsWork(t *testing.T) {
 	for _, size := range []int{1, 7, 90, 300} {
-		h := newHistory(size, 1)
+		h := newSimulation(size, 1)
 		h.run(10*time.Second, 2000)
 		if len(h.sent) < 50 {
 			t.Errorf("%d instances: %d requests in 10 s", size, len(h.sent))
@@ -121,16 +124,16 @@
 	}
 }
 
-// Guards against an instance that dies taking its rank along, so that the living on both sides of a
-// cut take others for the first.
+// Guards against an instance that loses its rank when it is no longer seen: the sides of a partition
+// would then choose different senders.
 func TestSilentInstancesKeepTheirRank(t *testing.T) {
-	h := newHistory(90, 1)
+	h := newSimulation(90, 1)
 	h.run(2*time.Second, 400)
-	h.cut(func(n int) int { return n }) // nobody knows anybody any more
+	h.partition(func(n int) int { return n }) // no instance sees any other
 	before := len(h.sent)
 	h.run(time.Second, 4000)
-	if got := len(h.sent) - before; got > engines.Most()/sides+1 {
-		t.Errorf("%d in the second after", got)
+	if got := len(h.sent) - before; got > engineBound.Most()/maxSides+1 {
+		t.Errorf("%d requests in the second after the partition", got)
 	}
 }
 
@@ -138,15 +141,15 @@
 	l := New("a", func() []string { return nil }, time.Now)
 	for range 1000 {
 		if !l.Allows("u", Bound{}) {
-			t.Fatal("held back without a bound")
+			t.Fatal("request refused without a bound")
 		}
 		l.Sent("u")
 	}
 }
 
 func BenchmarkAllows(b *testing.B) {
-	h := newHistory(300, 1)
+	h := newSimulation(300, 1)
 	for b.Loop() {
-		h.limit[0].Allows("cold", engines)
+		h.limits[0].Allows("cold", engineBound)
 	}
 }
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -139,8 +139,8 @@
 try cold-limit-at-the-choice pkg/placement/pool.go 's/ \|\| !p\.mayTake\(s, now\)//' pkg/placement TestColdUpstreamGetsWhatItTakes
 try returned-are-cold pkg/placement/pool.go 's/noteReturned\(before,/noteReturned(before[:0],/' pkg/placement TestReturnedUpstreamIsTakenForCold
 try cold-before-the-sending pkg/placement/pool.go 's/ && l\.mayBeSent\(\)//' pkg/placement TestUpstreamThatTurnsColdAfterTheChoiceGetsNothing
-try sides-share-the-bound pkg/coldlimit/limit.go 's/max\(most\/sides, 1\)/most/' pkg/coldlimit TestAllInstancesTogetherStayWithinTheBound
-try silent-keep-their-rank pkg/coldlimit/limit.go 's/rememberNames = 10 \* time\.Minute/rememberNames = time.Millisecond/' pkg/coldlimit TestSilentInstancesKeepTheirRank
-try starts-send-nothing-to-the-cold pkg/coldlimit/limit.go 's/if l\.now\(\)\.Sub\(l\.born\) < window \{/if false {/' pkg/coldlimit TestAllInstancesTogetherStayWithinTheBound
+try sides-share-the-bound pkg/coldlimit/limit.go 's/max\(limit\/maxSides, 1\)/limit/' pkg/coldlimit TestAllInstancesTogetherStayWithinTheBound
+try silent-keep-their-rank pkg/coldlimit/limit.go 's/nameLifetime = 10 \* time\.Minute/nameLifetime = time.Millisecond/' pkg/coldlimit TestSilentInstancesKeepTheirRank
+try starts-send-nothing-to-the-cold pkg/coldlimit/limit.go 's/if l\.now\(\)\.Sub\(l\.startedAt\) < window \{/if false {/' pkg/coldlimit TestAllInstancesTogetherStayWithinTheBound
 try drawers-name-lenders pkg/prepaid/drawer.go 's/; len\(lenders\) > 0 \{/; len(lenders) > 99 {/' pkg/prepaid TestDrawerNamesWhoHoldsTokensInAnOutage
 exit $status
