--- a/pkg/retrylimit/limit.go
+++ b/pkg/retrylimit/limit.go
@@ -1,6 +1,6 @@
-// Package retrylimit bounds how many requests a service gets beyond the first
-// sending of each, over all instances together, without talk between them: each
-// instance spends a part of its own requests and a share of a common extra.
+// Package retrylimit limits the retries that a service receives from all instances together, without
+// communication between them: each instance may retry a fraction of its own requests, plus its share of
+// a common extra.
 package retrylimit
 
 import (
@@ -8,128 +8,130 @@
 	"time"
 )
 
-// Settings are the bounds for a service.
+// Settings holds the bounds for a service.
 type Settings struct {
-	// Ratio is the share of requests that may be sent once more.
+	// Ratio is the number of retries allowed per first attempt.
 	Ratio float64
-	// Extra is how many more may be, over all instances in one window.
+	// Extra is the number of additional retries allowed in one window, over all instances.
 	Extra float64
-	// Window is the length of any span over which the bound holds.
+	// Window is the length of the time span over which the bound holds.
 	Window time.Duration
 }
 
-// The share of an instance. Instances count at slightly different moments and
-// come and go within a window, so a part of the bound is left unused.
+// Parameters of the share of one instance. Instances count at slightly different moments, and start and
+// stop within a window, so part of the bound is left unused.
 const (
-	// ratioUsed is the part of the ratio that is used.
-	ratioUsed = 0.8
-	// extraUsed is the part of the extra that all instances together use.
-	extraUsed = 0.7
-	// leastInstances is the fewest instances the extra is divided by: an
-	// instance that has not heard of the others yet must not take it all.
-	leastInstances = 12
-	// slices is into how many parts a window is divided for counting.
-	slices = 20
+	// usedRatioFraction is the fraction of Settings.Ratio that is used.
+	usedRatioFraction = 0.8
+	// usedExtraFraction is the fraction of Settings.Extra that all instances together use.
+	usedExtraFraction = 0.7
+	// minInstances is the minimum number of instances by which the extra is divided. An instance
+	// that does not know the others yet must not use all of it.
+	minInstances = 12
+	// numSlots is the number of slots into which a window is divided for counting.
+	numSlots = 20
 )
 
-// The share of a client account. One whose requests all fail would take every repeat from the
-// others, whose requests fail now and then.
+// Parameters of the share of one client account. Without it, an account whose requests all fail would
+// use up the retries of the others, whose requests fail occasionally.
 const (
-	// accountFactor times an account's part of the requests is its part of the repeats.
-	accountFactor = 2
-	// leastPart is the part of an account that sends little.
-	leastPart = 0.1
+	// accountShareFactor times an account's share of the requests is its share of the retries.
+	accountShareFactor = 2
+	// minAccountShare is the share of the retries of an account that sends few requests.
+	minAccountShare = 0.1
 )
 
-// Limit is the bound of one service at one instance. It is safe for concurrent use.
+// Limit enforces the bound for one service at one instance. It is safe for concurrent use.
 type Limit struct {
 	settings  Settings
 	instances func() int
 	now       func() time.Time
 
-	mu       sync.Mutex
-	start    time.Time
-	current  int64
-	all      counts
-	accounts map[string]*counts
+	mu          sync.Mutex
+	start       time.Time
+	currentSlot int64
+	total       slotCounts
+	accounts    map[string]*slotCounts
 }
 
-// counts are requests by the slices of a window.
-type counts struct{ first, repeats [slices]int }
+// slotCounts holds the numbers of first attempts and retries by slot of the window.
+type slotCounts struct{ first, retries [numSlots]int }
 
-// New returns a limit; instances tells how many instances are known.
+// New returns a limit. The function instances returns the number of known instances.
 func New(settings Settings, instances func() int, now func() time.Time) *Limit {
-	return &Limit{settings: settings, instances: instances, now: now, start: now(), accounts: map[string]*counts{}}
+	return &Limit{settings: settings, instances: instances, now: now, start: now(), accounts: map[string]*slotCounts{}}
 }
 
-// First counts the first sending of an account's request; the account is empty where none is needed.
+// CountFirst counts the first attempt of an account's request. The account is empty if the request needs
+// none.
 func (l *Limit) First(account string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance()
-	l.all.first[l.current%slices]++
-	l.of(account).first[l.current%slices]++
+	l.total.first[l.currentSlot%numSlots]++
+	l.accountCounts(account).first[l.currentSlot%numSlots]++
 }
 
-// TryRepeat reports whether a request of an account may be sent once more, and counts it.
+// TryRetry reports whether a request of an account may be retried, and counts the retry if so.
 func (l *Limit) TryRepeat(account string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance()
-	share := l.settings.Extra * extraUsed / float64(max(l.instances(), leastInstances))
-	first := sum(l.all.first)
-	allowed := l.settings.Ratio*ratioUsed*float64(first) + share
-	if float64(sum(l.all.repeats)+1) > allowed {
+	share := l.settings.Extra * usedExtraFraction / float64(max(l.instances(), minInstances))
+	first := sum(l.total.first)
+	allowed := l.settings.Ratio*usedRatioFraction*float64(first) + share
+	if float64(sum(l.total.retries)+1) > allowed {
 		return false
 	}
-	own := l.of(account)
-	part := max(accountFactor*float64(sum(own.first))/float64(max(first, 1)), leastPart)
-	if used := sum(own.repeats); used > 0 && float64(used+1) > allowed*part {
+	own := l.accountCounts(account)
+	accountShare := max(accountShareFactor*float64(sum(own.first))/float64(max(first, 1)), minAccountShare)
+	if used := sum(own.retries); used > 0 && float64(used+1) > allowed*accountShare {
 		return false
 	}
-	l.all.repeats[l.current%slices]++
-	own.repeats[l.current%slices]++
+	l.total.retries[l.currentSlot%numSlots]++
+	own.retries[l.currentSlot%numSlots]++
 	return true
 }
 
-// of returns an account's counts; l.mu is held.
-func (l *Limit) of(account string) *counts {
+// accountCounts returns the counts of an account. l.mu must be held.
+func (l *Limit) accountCounts(account string) *slotCounts {
 	own := l.accounts[account]
 	if own == nil {
-		own = &counts{}
+		own = &slotCounts{}
 		l.accounts[account] = own
 	}
 	return own
 }
 
-// advance clears the slices that time has passed over, and forgets accounts without requests.
+// advance clears the slots that are older than the window, and removes accounts without requests in it.
+// l.mu must be held.
 func (l *Limit) advance() {
-	slice := int64(l.now().Sub(l.start) / (l.settings.Window / slices))
-	if l.current >= slice {
+	slot := int64(l.now().Sub(l.start) / (l.settings.Window / numSlots))
+	if l.currentSlot >= slot {
 		return
 	}
-	for ; l.current < slice; l.current++ {
-		next := (l.current + 1) % slices
-		l.all.clear(next)
+	for ; l.currentSlot < slot; l.currentSlot++ {
+		next := (l.currentSlot + 1) % numSlots
+		l.total.clear(next)
 		for _, own := range l.accounts {
 			own.clear(next)
 		}
-		if slice-l.current > slices {
-			l.current = slice - slices
+		if slot-l.currentSlot > numSlots {
+			l.currentSlot = slot - numSlots
 		}
 	}
 	for account, own := range l.accounts {
-		if *own == (counts{}) {
+		if *own == (slotCounts{}) {
 			delete(l.accounts, account)
 		}
 	}
 }
 
-func (c *counts) clear(slice int64) { c.first[slice], c.repeats[slice] = 0, 0 }
+func (c *slotCounts) clear(slot int64) { c.first[slot], c.retries[slot] = 0, 0 }
 
-func sum(of [slices]int) int {
+func sum(counts [numSlots]int) int {
 	total := 0
-	for _, n := range of {
+	for _, n := range counts {
 		total += n
 	}
 	return total
--- a/pkg/retrylimit/limit_test.go
+++ b/pkg/retrylimit/limit_test.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// Many instances get uneven shares of the requests of a service that fails them
-// all; each would send every request once more, and again. Over any span of the
-// window the repeats of all together stay within the bound, also while an
-// instance does not know of the others yet.
+// Several instances receive uneven shares of the requests to a service that fails all of them, and each
+// tries to retry every request several times. Over any window, the retries of all instances together
+// must stay within the bound, even if some instances do not know all of the others yet.
 func TestAllInstancesTogetherStayWithinTheBound(t *testing.T) {
 	settings := Settings{Ratio: 0.2, Extra: 58, Window: 10 * time.Second}
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -17,42 +16,42 @@
 	const instances = 9
 	var limits []*Limit
 	for i := range instances {
-		known := 1 + i%instances // some have heard of few
-		limits = append(limits, New(settings, func() int { return known }, func() time.Time { return now }))
+		numKnown := 1 + i%instances // some instances know only a few others
+		limits = append(limits, New(settings, func() int { return numKnown }, func() time.Time { return now }))
 	}
-	type moment struct {
-		at      time.Time
-		repeats int
+	type sample struct {
+		at    time.Time
+		count int
 	}
-	var requests, repeats []moment
+	var requests, retries []sample
 	for range 6000 {
 		now = now.Add(time.Duration(rng.IntN(20)) * time.Millisecond)
 		limit := limits[min(rng.IntN(instances), rng.IntN(instances))]
 		limit.First("")
-		requests = append(requests, moment{now, 1})
+		requests = append(requests, sample{now, 1})
 		sent := 0
 		for range 3 {
 			if limit.TryRepeat("") {
 				sent++
 			}
 		}
-		repeats = append(repeats, moment{now, sent})
+		retries = append(retries, sample{now, sent})
 	}
-	for i := range repeats {
-		end := repeats[i].at
-		first, again := 0, 0
-		for j := i; j >= 0 && end.Sub(repeats[j].at) <= settings.Window; j-- {
-			first += requests[j].repeats
-			again += repeats[j].repeats
+	for i := range retries {
+		end := retries[i].at
+		first, retried := 0, 0
+		for j := i; j >= 0 && end.Sub(retries[j].at) <= settings.Window; j-- {
+			first += requests[j].count
+			retried += retries[j].count
 		}
-		if bound := settings.Ratio*float64(first) + settings.Extra; float64(again) > bound {
-			t.Fatalf("%d repeats of %d requests within a window, bound %.0f", again, first, bound)
+		if bound := settings.Ratio*float64(first) + settings.Extra; float64(retried) > bound {
+			t.Fatalf("%d retries of %d requests within a window, bound %.0f", retried, first, bound)
 		}
 	}
 }
 
-// A service fails for a while and then recovers. What was not used up is there
-// again when the window has passed.
+// A service fails for a while and then recovers. After the window has passed, retries must be allowed
+// again.
 func TestRepeatsAreAllowedAgain(t *testing.T) {
 	now := time.Unix(0, 0)
 	limit := New(Settings{Ratio: 0.2, Extra: 24, Window: time.Second}, func() int { return 1 }, func() time.Time { return now })
@@ -62,11 +61,11 @@
 	}
 	now = now.Add(1100 * time.Millisecond)
 	if used == 0 || !limit.TryRepeat("") {
-		t.Errorf("%d were allowed at first, none after the window", used)
+		t.Errorf("%d retries were allowed at first, none after the window", used)
 	}
 }
 
-// Guards against one account whose requests all fail and that takes every repeat from the others.
+// Guards against one account whose requests all fail and that uses up the retries of the others.
 func TestOneAccountDoesNotTakeAllRepeats(t *testing.T) {
 	const accounts, abuser = 40, "abuser"
 	rng := rand.New(rand.NewPCG(8, 8))
@@ -91,22 +90,22 @@
 		}
 	}
 	if refused*100 > failed {
-		t.Errorf("%d of %d repeats of the others were refused", refused, failed)
+		t.Errorf("%d of %d retries of the other accounts were refused", refused, failed)
 	}
 }
 
-// An account that alone sends requests has all repeats.
+// An account that is the only one to send requests may use all retries.
 func TestOnlyAccountHasAllRepeats(t *testing.T) {
 	now := time.Unix(0, 0)
 	limit := New(Settings{Ratio: 0.2, Extra: 0, Window: 10 * time.Second}, func() int { return 9 }, func() time.Time { return now })
-	repeats := 0
+	retries := 0
 	for range 1000 {
 		limit.First("only")
 		if limit.TryRepeat("only") {
-			repeats++
+			retries++
 		}
 	}
-	if want := int(1000 * 0.2 * ratioUsed); repeats < want-1 {
-		t.Errorf("%d repeats, %d are allowed", repeats, want)
+	if want := int(1000 * 0.2 * usedRatioFraction); retries < want-1 {
+		t.Errorf("%d retries, %d are allowed", retries, want)
 	}
 }
