--- a/pkg/overload/limit.go
+++ b/pkg/overload/limit.go
@@ -1,12 +1,16 @@
-// Package overload notices that an instance's own link cannot carry what its callers send, and
-// bounds what the instance takes on, so that the rest is refused at once and served elsewhere.
+// Package overload detects that an instance's own network link cannot carry the traffic of its callers,
+// and limits the requests in progress, so that the others are refused at once and served by another
+// instance.
 //
-// Pattern: callers are spread by a hash, so some instances get many times the mean. On a small link
-// requests and answers then wait in a queue that only grows: new connections to upstreams time out,
-// each request tries several, and nearly all end after their callers have left. Grounds: a
-// connection within a region takes a few milliseconds; if hardly any to many different upstreams
-// does, it is the own link that all of them share, and not the upstreams. What is refused then costs
-// a few hundred bytes and is served by another instance within its time.
+// The overload arises because callers are distributed by a hash, so some instances receive many times
+// the average. On a small link, requests and answers then wait in an ever growing queue: new connections
+// to upstreams time out, each request tries several upstreams, and nearly all requests end after their
+// callers have left.
+//
+// It is detected by the time that connections take. Within a region, this is a few milliseconds. If
+// hardly any connections to many different upstreams are that fast, the cause is what they share, the
+// instance's own link, and not the upstreams. Refusing a request then costs a few hundred bytes, and
+// another instance serves it in time.
 package overload
 
 import (
@@ -14,111 +18,118 @@
 	"time"
 )
 
-// How overload is noticed.
+// Parameters of the detection.
 const (
-	// window is the time over which connections are looked at together.
+	// window is the time over which connections are evaluated together.
 	window = 400 * time.Millisecond
-	// fastConnect is a connection's set-up on a link that is not full: several times the way to
-	// the farthest upstream and back.
-	fastConnect = 60 * time.Millisecond
-	// leastConnects and leastUpstreams are how many connections to how many upstreams tell
-	// something: upstreams that are gone together are of one service or one failure domain.
-	leastConnects, leastUpstreams = 8, 5
-	// fastPart is the part of the connections, as a divisor, that are fast where the link is not
-	// the cause, however many upstreams are gone.
-	fastPart = 5
+	// maxFastConnect is the maximum time to connect over a link that is not full: several times
+	// the round-trip time to the farthest upstream.
+	maxFastConnect = 60 * time.Millisecond
+	// minConnects and minUpstreams are the minimum numbers of connections in a window, and of the
+	// upstreams they go to, for a decision. Connections to fewer upstreams may be slow because the
+	// upstreams are gone: those that disappear together belong to one service or one failure
+	// domain.
+	minConnects, minUpstreams = 8, 5
+	// fastDivisor determines the fraction of connections that are fast if the link is not
+	// overloaded, however many upstreams are gone: more than 1/fastDivisor.
+	fastDivisor = 5
 )
 
-// How the limit moves: additive increase would take minutes from a few requests to some hundred.
+// Parameters of the adjustment of the limit. The increase is multiplicative, because an additive one
+// would take minutes to get from a few requests to some hundred.
 const (
-	// decrease and increase multiply the limit after a window that was overloaded, or was not.
-	decrease, increase = 0.7, 1.15
-	// leastLimit is what is taken on in any case.
-	leastLimit = 8
-	// liftedAfter is how long no window may be overloaded before there is no limit any more.
-	liftedAfter = 3 * time.Second
+	// decreaseFactor multiplies the limit after an overloaded window, increaseFactor after any
+	// other window.
+	decreaseFactor, increaseFactor = 0.7, 1.15
+	// minLimit is the lowest limit.
+	minLimit = 8
+	// liftDelay is the time without an overloaded window after which the limit is lifted.
+	liftDelay = 3 * time.Second
 )
 
-// Limit bounds the requests that an instance has in progress. It is safe for concurrent use.
+// Limit limits the requests that an instance has in progress. It is safe for concurrent use.
 type Limit struct {
 	now func() time.Time
 
 	mu       sync.Mutex
 	inFlight int
-	// most is the limit; 0 for none. overloadedAt is when a window was last overloaded.
-	most         float64
+	// limit is the maximum number of requests in progress; 0 if there is no limit. overloadedAt is
+	// when the last overloaded window ended.
+	limit        float64
 	overloadedAt time.Time
-	// began is when the present window did, connects and fast what it has seen.
-	began          time.Time
-	connects, fast int
-	upstreams      map[string]bool
+	// windowStart is the start of the current window. connects, fastConnects and upstreams are the
+	// number of connections in it, the number of fast ones, and the addresses they went to.
+	windowStart            time.Time
+	connects, fastConnects int
+	upstreams              map[string]bool
 }
 
-// New returns a limit that bounds nothing until there is a reason.
+// New returns a limit that allows every request until an overload is detected.
 func New(now func() time.Time) *Limit {
-	return &Limit{now: now, began: now(), upstreams: map[string]bool{}}
+	return &Limit{now: now, windowStart: now(), upstreams: map[string]bool{}}
 }
 
-// Begin reports whether one more request may be taken on; if so, End is called when it has ended.
+// Begin reports whether another request may be accepted. If so, the caller must call End when the request
+// has ended.
 func (l *Limit) Begin() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance()
-	if l.most > 0 && float64(l.inFlight) >= l.most {
+	if l.limit > 0 && float64(l.inFlight) >= l.limit {
 		return false
 	}
 	l.inFlight++
 	return true
 }
 
-// End says that a request has ended.
+// End records that an accepted request has ended.
 func (l *Limit) End() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
 }
 
-// Connected says how long a new connection to an upstream took, or was waited for in vain. One that
-// was refused at once says as much of the link as one that was set up.
-func (l *Limit) Connected(address string, took time.Duration) {
+// ObserveConnect records how long it took to connect to an upstream, or until the attempt failed. A
+// connection that was refused at once shows as much about the link as one that was established.
+func (l *Limit) Connected(address string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance()
 	l.connects++
 	l.upstreams[address] = true
-	if took <= fastConnect {
-		l.fast++
+	if duration <= maxFastConnect {
+		l.fastConnects++
 	}
 }
 
-// Overloaded reports whether callers are better served elsewhere.
+// Overloaded reports whether the limit is in force, so that callers are better served by another instance.
 func (l *Limit) Overloaded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance()
-	return l.most > 0
+	return l.limit > 0
 }
 
-// advance ends a window that is over; l.mu is held.
+// advance ends the current window if its time has passed, and adjusts the limit. l.mu must be held.
 func (l *Limit) advance() {
 	now := l.now()
-	if now.Sub(l.began) < window {
+	if now.Sub(l.windowStart) < window {
 		return
 	}
-	slow := l.connects >= leastConnects && len(l.upstreams) >= leastUpstreams && l.fast*fastPart <= l.connects
-	l.began, l.connects, l.fast = now, 0, 0
+	slow := l.connects >= minConnects && len(l.upstreams) >= minUpstreams && l.fastConnects*fastDivisor <= l.connects
+	l.windowStart, l.connects, l.fastConnects = now, 0, 0
 	clear(l.upstreams)
 	switch {
 	case slow:
-		present := float64(l.inFlight)
-		if l.most > 0 {
-			present = min(present, l.most)
+		current := float64(l.inFlight)
+		if l.limit > 0 {
+			current = min(current, l.limit)
 		}
-		l.most = max(present*decrease, leastLimit)
+		l.limit = max(current*decreaseFactor, minLimit)
 		l.overloadedAt = now
-	case l.most > 0 && now.Sub(l.overloadedAt) >= liftedAfter:
-		l.most = 0
-	case l.most > 0:
-		l.most *= increase
+	case l.limit > 0 && now.Sub(l.overloadedAt) >= liftDelay:
+		l.limit = 0
+	case l.limit > 0:
+		l.limit *= increaseFactor
 	}
 }
--- a/pkg/overload/limit_test.go
+++ b/pkg/overload/limit_test.go
@@ -8,40 +8,40 @@
 	"time"
 )
 
-// Figures of an instance with a small link.
+// Parameters of a simulated instance with a small link.
 const (
-	linkBytes    = 2_500_000 // a second: 20 Mbit/s
-	requestBytes = 20_000    // a prompt and its answer, on the way in and out
-	wayTime      = 3 * time.Millisecond
-	dialBound    = 300 * time.Millisecond
-	deadline     = 3 * time.Second
-	attempts     = 3
+	linkBytesPerSecond = 2_500_000 // 20 Mbit/s
+	requestBytes       = 20_000    // a prompt and its answer, each received and sent
+	roundTripTime      = 3 * time.Millisecond
+	dialTimeout        = 300 * time.Millisecond
+	deadline           = 3 * time.Second
+	attempts           = 3
 )
 
-// link carries bytes one after the other; what comes while it is busy waits.
+// link transmits bytes sequentially; bytes that arrive while it is busy wait.
 type link struct {
 	mu     sync.Mutex
-	freeAt time.Time
+	idleAt time.Time
 }
 
-// carry waits until so many bytes have passed.
-func (l *link) carry(bytes int) {
+// transmit waits until the given number of bytes has been transmitted.
+func (l *link) transmit(bytes int) {
 	l.mu.Lock()
 	now := time.Now()
-	if l.freeAt.Before(now) {
-		l.freeAt = now
+	if l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.freeAt = l.freeAt.Add(time.Duration(bytes) * time.Second / linkBytes)
-	until := l.freeAt
+	l.idleAt = l.idleAt.Add(time.Duration(bytes) * time.Second / linkBytesPerSecond)
+	until := l.idleAt
 	l.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
 
-// queue is how long a packet waits.
-func (l *link) queue() time.Duration {
+// queueDelay returns how long a packet waits before it is transmitted.
+func (l *link) queueDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(time.Until(l.freeAt), 0)
+	return max(time.Until(l.idleAt), 0)
 }
 
 // instance serves callers over its link.
@@ -49,16 +49,17 @@
 	link  link
 	limit *Limit
 	mu    sync.Mutex
-	// served in time, refused at once, and what is left: late, or told after long.
+	// served counts requests answered in time, refused those refused at once, lost the remaining
+	// ones: answered late, or failed after a long time.
 	served, refused, lost int
 }
 
-// serve takes one request to its end.
+// serve processes one request until it is served, refused or lost.
 func (i *instance) serve(number int) {
 	began := time.Now()
-	i.link.carry(requestBytes / 2)
+	i.link.transmit(requestBytes / 2)
 	if i.limit != nil && !i.limit.Begin() {
-		i.count(&i.refused)
+		i.increment(&i.refused)
 		return
 	}
 	if i.limit != nil {
@@ -66,46 +67,47 @@
 	}
 	for try := range attempts {
 		address := fmt.Sprint(number%20 + try)
-		took := wayTime + i.link.queue()
-		time.Sleep(min(took, dialBound))
+		took := roundTripTime + i.link.queueDelay()
+		time.Sleep(min(took, dialTimeout))
 		if i.limit != nil {
-			i.limit.Connected(address, min(took, dialBound))
+			i.limit.Connected(address, min(took, dialTimeout))
 		}
-		if took > dialBound {
+		if took > dialTimeout {
 			continue
 		}
-		i.link.carry(requestBytes / 2)
+		i.link.transmit(requestBytes / 2)
 		if time.Since(began) <= deadline {
-			i.count(&i.served)
+			i.increment(&i.served)
 			return
 		}
 		break
 	}
-	i.count(&i.lost)
+	i.increment(&i.lost)
 }
 
-func (i *instance) count(what *int) {
+func (i *instance) increment(counter *int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	*what++
+	*counter++
 }
 
-// play has requests come at a rate for a time. The platform sends new connections elsewhere two
-// seconds after the instance says that it is not ready, and back again.
-func (i *instance) play(perSecond int, lasts time.Duration) (elsewhere int) {
+// run generates requests at a rate for a time, and returns how many of them other instances received.
+// Two seconds after the instance becomes unready, the platform sends new connections to other instances;
+// once it is ready, it receives all of them again.
+func (i *instance) run(perSecond int, duration time.Duration) (elsewhere int) {
 	var running sync.WaitGroup
-	var unready time.Time
-	for n := range perSecond * int(lasts/time.Second) {
+	var unreadySince time.Time
+	for n := range perSecond * int(duration/time.Second) {
 		time.Sleep(time.Second / time.Duration(perSecond))
 		if i.limit != nil && i.limit.Overloaded() {
-			if unready.IsZero() {
-				unready = time.Now()
+			if unreadySince.IsZero() {
+				unreadySince = time.Now()
 			}
 		} else {
-			unready = time.Time{}
+			unreadySince = time.Time{}
 		}
-		if !unready.IsZero() && time.Since(unready) > 2*time.Second && n%2 == 0 {
-			elsewhere++ // half of the callers keep their connections
+		if !unreadySince.IsZero() && time.Since(unreadySince) > 2*time.Second && n%2 == 0 {
+			elsewhere++ // the other half of the callers keep their connections
 			continue
 		}
 		running.Go(func() { i.serve(n) })
@@ -114,77 +116,77 @@
 	return elsewhere
 }
 
-// Pattern: a third of a domain's callers come to one instance by the balancer's hash, twice what its
-// link carries. Without a limit the link's queue only grows, every connection to an upstream times
-// out, each request tries three, and after two seconds nobody is served in time. With it, most of
-// what the link carries is served, and the others are told at once to go elsewhere.
+// The load balancer's hash sends a third of a failure domain's callers to one instance, twice the load
+// that its link can carry. Without a limit, the link's queue only grows, every connection to an upstream
+// times out, each request tries three of them, and after two seconds no request is served in time. With
+// a limit, most of what the link can carry is served, and the other requests are refused at once.
 func TestOverloadedInstanceServesWhatItsLinkCarries(t *testing.T) {
 	const perSecond, lasts = 250, 20 * time.Second
-	play := func(limit bool) (i *instance, elsewhere int) {
+	simulate := func(limited bool) (i *instance, elsewhere int) {
 		synctest.Test(t, func(*testing.T) {
 			i = &instance{}
-			if limit {
+			if limited {
 				i.limit = New(time.Now)
 			}
-			elsewhere = i.play(perSecond, lasts)
+			elsewhere = i.run(perSecond, lasts)
 		})
 		return i, elsewhere
 	}
-	without, _ := play(false)
-	with, elsewhere := play(true)
+	without, _ := simulate(false)
+	with, elsewhere := simulate(true)
 	t.Logf("without: %d served, %d lost; with: %d served, %d refused, %d lost, %d elsewhere",
 		without.served, without.lost, with.served, with.refused, with.lost, elsewhere)
 	if with.served < 2*without.served {
-		t.Errorf("%d served in time, %d without a limit", with.served, without.served)
+		t.Errorf("%d requests served in time, %d without a limit", with.served, without.served)
 	}
 	if all := perSecond * int(lasts/time.Second); with.lost > all/10 {
-		t.Errorf("%d of %d neither served in time nor refused", with.lost, all)
+		t.Errorf("%d of %d requests neither served in time nor refused", with.lost, all)
 	}
 }
 
-// Upstreams of a failure domain are gone, or a service's are all: half of the connections are waited
-// for in vain. The link is well, and nobody is refused for it.
+// The upstreams of a failure domain are gone, so half of the connections time out; or all upstreams of
+// a service are. The link is not overloaded, so no request may be refused.
 func TestUpstreamsThatAreGoneAreNoOverload(t *testing.T) {
 	now := time.Unix(100, 0)
 	l := New(func() time.Time { return now })
 	for n := range 400 {
 		now = now.Add(10 * time.Millisecond)
-		took := wayTime
+		took := roundTripTime
 		if n%2 == 0 {
-			took = dialBound
+			took = dialTimeout
 		}
 		l.Connected(fmt.Sprint(n%30), took)
 		if l.Overloaded() || !l.Begin() {
-			t.Fatalf("overloaded after %d connections", n+1)
+			t.Fatalf("overload reported after %d connections", n+1)
 		}
 	}
 	now = now.Add(window)
 	l.Overloaded()
 	for n := range 400 {
 		now = now.Add(10 * time.Millisecond)
-		l.Connected(fmt.Sprint(n%4), dialBound) // one small service, gone as a whole
+		l.Connected(fmt.Sprint(n%4), dialTimeout) // all upstreams of one small service are gone
 		if l.Overloaded() {
-			t.Fatalf("overloaded after %d connections to four upstreams", n+1)
+			t.Fatalf("overload reported after %d connections to four upstreams", n+1)
 		}
 	}
 }
 
-// The load is gone: a few seconds later the instance takes on everything again.
+// A few seconds after the load has ended, the limit must be lifted.
 func TestLimitIsLiftedAfterTheLoad(t *testing.T) {
 	now := time.Unix(100, 0)
 	l := New(func() time.Time { return now })
 	for n := range 100 {
 		now = now.Add(10 * time.Millisecond)
-		l.Connected(fmt.Sprint(n%30), dialBound)
+		l.Connected(fmt.Sprint(n%30), dialTimeout)
 	}
 	if !l.Overloaded() {
-		t.Fatal("no overload noticed")
+		t.Fatal("overload not detected")
 	}
 	for range 10 {
 		now = now.Add(window)
 		l.Overloaded()
 	}
 	if l.Overloaded() {
-		t.Error("still overloaded four seconds later")
+		t.Error("overload still reported four seconds later")
 	}
 }
