--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -273,7 +273,8 @@
 	if e := t.records[f]; e != nil {
 		cleared = e.Cleared
 	}
-	before := max(r.knownCrashes, cleared) // a run that began while nothing was watched did not look up the cleared crashes
+	// A run that began while nothing was watched did not look up the cleared crashes.
+	before := max(r.knownCrashes, cleared)
 	t.recent.note(upstream.ID, before-cleared, now)
 	key := t.endingKeyFor(&r, f, upstream)
 	crash := Crash{run: r, at: now, record: Record{
--- a/pkg/quarantine/undecided.go
+++ b/pkg/quarantine/undecided.go
@@ -49,9 +49,10 @@
 	return len(t.undecided[address]) > 0
 }
 
-// NoteAnswer records that an incarnation at an address answered a request sent at since. Endings by this
-// incarnation before that time were not crashes, since it is still running; those by other incarnations
-// were, since their processes are gone.
+// NoteAnswer records that an incarnation at an address answered a request that was not sent before since.
+// This decides the endings at the address before that time: those by the same incarnation were not
+// crashes, because its process is still running; those by other incarnations were, because their
+// processes are gone.
 func (t *Table) Answered(address, incarnation string, since time.Time) {
 	if t.numUndecidedAddresses.Load() == 0 || incarnation == "" {
 		return
