--- /dev/null
+++ b/pkg/follow/agemonitor.go
@@ -0,0 +1,52 @@
+package follow
+
+import "time"
+
+// AgeReport describes a copy that has become stale, or is confirmed again.
+type AgeReport struct {
+	Copy string
+	// Stale is false once the copy is confirmed again.
+	Old bool
+	// Age is the time since the copy was last confirmed: the current value, or the maximum reached
+	// while the copy was stale.
+	Age time.Duration
+	// StoreAnswers reports whether the store answered this instance's last call. If so, only the
+	// confirmations of the publishing instances are missing.
+	StoreAnswers bool
+}
+
+// AgeMonitor reports copies that have gone unconfirmed for longer than Timing.LastTimeout, the
+// longest that any instance relies on confirmations by others. It must be used by one goroutine
+// only.
+type Alarm struct {
+	Tell func(AgeReport)
+	// maxAges holds the maximum age of each stale copy.
+	maxAges map[string]time.Duration
+}
+
+// Check examines the current age of a copy and reports a transition to or from stale.
+func (a *Alarm) Look(name string, copied *Follower) {
+	age, read := copied.Age()
+	if !read {
+		return
+	}
+	maxAge, wasStale := a.maxAges[name]
+	report := AgeReport{Copy: name, Old: age > copied.timing().LastTimeout, Age: max(age, maxAge), StoreAnswers: !copied.Breaker.Tripped()}
+	switch {
+	case report.Old && !wasStale:
+		a.Tell(report)
+	case !report.Old && wasStale:
+		delete(a.maxAges, name)
+		a.Tell(report)
+	}
+	if report.Old {
+		a.recordAge(name, report.Age)
+	}
+}
+
+func (a *Alarm) recordAge(name string, age time.Duration) {
+	if a.maxAges == nil {
+		a.maxAges = map[string]time.Duration{}
+	}
+	a.maxAges[name] = age
+}
--- a/pkg/follow/contents.go
+++ b/pkg/follow/contents.go
@@ -7,81 +7,83 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// mostDeletions bounds the deletions that are remembered; who is further behind gets a whole
-// copy. Of 300 upstreams that all start again each is deleted once.
-const mostDeletions = 1024
+// maxDeletions bounds the number of remembered deletions. An instance that is further behind
+// receives a whole copy. When 300 upstreams restart together, each is deleted once.
+const maxDeletions = 1024
 
-// fewObjects is up to how many objects a copy is read whole rather than by its changes.
-const fewObjects = 4
+// maxListedObjects is the number of objects up to which a copy is read by a list rather than by its
+// changes.
+const maxListedObjects = 4
 
-// contents is what a copy consists of, as the store gave it, so that it can be handed on. It is
-// safe for concurrent use.
+// contents holds the objects of a copy as the store returned them, so that the copy can be served
+// to other instances. It is safe for concurrent use.
 type contents struct {
 	mu      sync.Mutex
 	objects map[string]store.Object
-	// deleted holds the positions by which objects were gone.
+	// deleted maps the key of each deleted object to a position by which the object was gone.
 	deleted map[string]store.Position
-	// position is that up to which this is all, floor the one from which on each deletion is in
-	// deleted.
-	position, floor store.Position
-	// number returns the number that an object's writer gave its content, which only rises; nil
-	// if contents have none.
+	// position is the position up to which the copy is complete. Every deletion after deletionsFrom
+	// is in deleted.
+	position, deletionsFrom store.Position
+	// number returns the number that an object's writer assigned to its content and that only
+	// increases; nil if contents are not numbered.
 	number func(value []byte) uint64
-	// kept are the keys whose content is of a higher number than the store's.
-	kept map[string]bool
+	// retained holds the keys whose content has a higher number than the store's.
+	retained map[string]bool
 }
 
-// replace takes a whole list. What the writer of an object has numbered higher than what the list
-// has stays, also if the list lacks the object: a store that came back from a copy lists what was
-// overwritten before, and an instance that starts gets its copy from here.
+// replace applies a whole list. Content that its writer numbered higher than the list's content is
+// retained, also if the list lacks the object: a store restored from a copy lists content that had
+// been overwritten before, and starting instances get their copy from here.
 func (c *contents) replace(list store.Listing) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before, kept := c.objects, c.kept
+	before, kept := c.objects, c.retained
 	crossed := c.position.Era != list.Position.Era
 	c.objects = make(map[string]store.Object, len(list.Objects))
-	c.kept = map[string]bool{}
+	c.retained = map[string]bool{}
 	for _, object := range list.Objects {
-		c.objects[object.Key] = c.highest(before[object.Key], object)
+		c.objects[object.Key] = c.withHigherNumber(before[object.Key], object)
 	}
 	for key, object := range before {
 		if _, listed := c.objects[key]; !listed && (crossed || kept[key]) {
-			c.keepMissing(object, list.Position)
+			c.retainMissing(object, list.Position)
 		}
 	}
 	c.deleted = map[string]store.Position{}
-	c.position, c.floor = list.Position, list.Position
+	c.position, c.deletionsFrom = list.Position, list.Position
 }
 
-// highest returns the content of the higher number at the position of now; c.mu is held.
-func (c *contents) highest(before, now store.Object) store.Object {
+// withHigherNumber returns the content with the higher number, at the position of now. c.mu must be
+// held.
+func (c *contents) withHigherNumber(before, now store.Object) store.Object {
 	if c.number == nil || before.Value == nil || c.number(before.Value) <= c.number(now.Value) {
-		delete(c.kept, now.Key)
+		delete(c.retained, now.Key)
 		return now
 	}
-	c.kept[now.Key] = true
+	c.retained[now.Key] = true
 	now.Value = before.Value
 	return now
 }
 
-// keepMissing keeps a numbered object that a list of a later era lacks; c.mu is held.
-func (c *contents) keepMissing(object store.Object, at store.Position) {
+// retainMissing retains a numbered object that a list of a later era lacks. c.mu must be held.
+func (c *contents) retainMissing(object store.Object, at store.Position) {
 	if c.number == nil || c.number(object.Value) == 0 {
 		return
 	}
 	object.Position = at
-	c.objects[object.Key], c.kept[object.Key] = object, true
+	c.objects[object.Key], c.retained[object.Key] = object, true
 }
 
-// few reports that the copy is of few objects.
-func (c *contents) few() bool {
+// isSmall reports whether the copy has at most maxListedObjects objects.
+func (c *contents) isSmall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.objects) <= fewObjects
+	return len(c.objects) <= maxListedObjects
 }
 
-// bytes returns how large the copy is.
-func (c *contents) bytes() int {
+// byteSize returns the total size of the copy's values in bytes.
+func (c *contents) byteSize() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	total := 0
@@ -91,8 +93,8 @@
 	return total
 }
 
-// lastChangeIn returns the position of the last change that a list shows, or a later one: that of
-// a deletion is not told, so the list's own stands for it.
+// lastChangeIn returns the position of the last change that a list shows, or a later one: a list
+// does not contain the position of a deletion, so the position of the list is used instead.
 func (c *contents) lastChangeIn(list store.Listing) store.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +114,7 @@
 	return last
 }
 
-// apply takes changes up to a version.
+// apply applies the changes up to a position.
 func (c *contents) apply(changes store.Changes) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,27 +128,27 @@
 			c.deleted[key] = changes.Position
 			continue
 		}
-		if c.kept[key] {
-			change.Object = c.highest(c.objects[key], change.Object)
+		if c.retained[key] {
+			change.Object = c.withHigherNumber(c.objects[key], change.Object)
 		}
 		c.objects[key] = change.Object
 		delete(c.deleted, key)
 	}
 	c.position = store.Later(c.position, changes.Position)
-	if len(c.deleted) > mostDeletions {
-		c.deleted, c.floor = map[string]store.Position{}, c.position
+	if len(c.deleted) > maxDeletions {
+		c.deleted, c.deletionsFrom = map[string]store.Position{}, c.position
 	}
 }
 
-// after returns what changed after a position, or the whole if that is not known any more or is of
-// another era; nil if there is nothing yet.
-func (c *contents) after(since store.Position) *followpb.Contents {
+// changesAfter returns the changes after a position, or the whole copy if these changes are no
+// longer known or the position is of another era; nil if there is no copy yet.
+func (c *contents) changesAfter(since store.Position) *followpb.Contents {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.position.IsZero() {
 		return nil
 	}
-	whole := since.Era != c.position.Era || since.Before(c.floor)
+	whole := since.Era != c.position.Era || since.Before(c.deletionsFrom)
 	out := &followpb.Contents{
 		Era: uint64(c.position.Era), Since: uint64(since.Version), Version: uint64(c.position.Version), Whole: whole,
 	}
@@ -168,8 +170,8 @@
 	return out
 }
 
-// listing reads a whole copy.
-func listing(c *followpb.Contents) store.Listing {
+// listingFrom decodes a whole copy.
+func listingFrom(c *followpb.Contents) store.Listing {
 	list := store.Listing{Position: positionOf(c)}
 	for _, object := range c.Objects {
 		list.Objects = append(list.Objects, objectOf(c, object))
@@ -177,8 +179,8 @@
 	return list
 }
 
-// changesOf reads what changed.
-func changesOf(c *followpb.Contents) store.Changes {
+// changesFrom decodes changes.
+func changesFrom(c *followpb.Contents) store.Changes {
 	changes := store.Changes{Position: positionOf(c)}
 	for _, object := range c.Objects {
 		changes.Changes = append(changes.Changes, store.Change{Object: objectOf(c, object), Deleted: object.Deleted})
@@ -186,12 +188,12 @@
 	return changes
 }
 
-// positionOf is up to where contents are all.
+// positionOf returns the position up to which contents are complete.
 func positionOf(c *followpb.Contents) store.Position {
 	return store.Position{Era: store.Era(c.Era), Version: store.Version(c.Version)}
 }
 
-// lastChangeOf is the position of the last change in contents, or a later one.
+// lastChangeOf returns the position of the last change in contents, or a later one.
 func lastChangeOf(c *followpb.Contents) store.Position {
 	return store.Position{Era: store.Era(c.Era), Version: store.Version(c.LastChange)}
 }
--- a/pkg/follow/handon_test.go
+++ b/pkg/follow/copyserver_test.go
@@ -11,52 +11,52 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// handingPeers reach one other instance.
-type handingPeers struct {
-	*copyMember
+// servingPeers gives access to one other instance.
+type servingPeers struct {
+	*testInstance
 	other *Publisher
-	// packed is what it handed on last.
+	// packed is what that instance served last.
 	packed []byte
 }
 
-func (p *handingPeers) Fetch(_ context.Context, _ string, request *followpb.FetchRequest) (*followpb.FetchReply, error) {
+func (p *servingPeers) Fetch(_ context.Context, _ string, request *followpb.FetchRequest) (*followpb.FetchReply, error) {
 	reply, err := p.other.HandOn(request)
 	p.packed = reply.GetPacked()
 	return reply, err
 }
 
-func newHanding(other *Publisher) (*Publisher, *handingPeers) {
-	peers := &handingPeers{copyMember: &copyMember{fleet: &fleetOfCopies{}}, other: other}
-	f := &Follower{Kind: "k", Copy: &newest{}}
-	return NewPublisher("p", map[string]*Follower{"k": f}, peers, TimingFor(longestStaleness)), peers
+func newServingPublisher(other *Publisher) (*Publisher, *servingPeers) {
+	peers := &servingPeers{testInstance: &testInstance{fleet: &testFleet{}}, other: other}
+	f := &Follower{Kind: "k", Copy: &versionRecorder{}}
+	return NewPublisher("p", map[string]*Follower{"k": f}, peers, TimingFor(maxStaleness)), peers
 }
 
-// Guards against a large copy that is compressed anew by each instance that hands it on, and against
-// one that is sent again and again to who lacks nothing of it.
+// Guards against a large copy that is compressed again by each instance that serves it, and against
+// one that is sent repeatedly to an instance which lacks nothing of it.
 func TestCopyIsHandedOnAsItCameAndToThoseThatLackIt(t *testing.T) {
-	first, _ := newHanding(nil)
+	first, _ := newServingPublisher(nil)
 	f := first.followers["k"]
 	f.applyList(store.Listing{
 		Position: store.At(7), Objects: []store.Object{{Key: "k/main", Position: store.At(5), Value: make([]byte, 10_000)}},
 	})
-	second, fromFirst := newHanding(first)
-	third, fromSecond := newHanding(second)
+	second, fromFirst := newServingPublisher(first)
+	third, fromSecond := newServingPublisher(second)
 	for _, p := range []*Publisher{second, third} {
-		if further, _, err := p.FetchFrom(t.Context(), "k", ""); err != nil || !further {
-			t.Fatalf("brought further: %t, %v", further, err)
+		if advanced, _, err := p.FetchFrom(t.Context(), "k", ""); err != nil || !advanced {
+			t.Fatalf("advanced the copy: %t, error: %v", advanced, err)
 		}
 	}
 	if !bytes.Equal(fromFirst.packed, fromSecond.packed) || &fromFirst.packed[0] != &fromSecond.packed[0] {
-		t.Error("the copy was compressed anew")
+		t.Error("the copy was compressed again")
 	}
 	whole := len(fromFirst.packed)
 	if _, _, err := third.FetchFrom(t.Context(), "k", ""); err != nil || len(fromSecond.packed) >= whole {
-		t.Errorf("%d bytes were sent to who lacks nothing of %d, %v", len(fromSecond.packed), whole, err)
+		t.Errorf("%d bytes sent to an instance that lacks nothing, whole copy %d bytes, error: %v", len(fromSecond.packed), whole, err)
 	}
 }
 
-// halfSilentPeers reach the one who publishes; all others are asked in vain.
-type halfSilentPeers struct{ *handingPeers }
+// halfSilentPeers reaches the publishing instance only; all others never reply.
+type halfSilentPeers struct{ *servingPeers }
 
 func (p *halfSilentPeers) Addresses() []string     { return []string{"silent"} }
 func (p *halfSilentPeers) AddressOf(string) string { return "publisher" }
@@ -68,26 +68,26 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return p.handingPeers.Fetch(ctx, address, request)
+	return p.servingPeers.Fetch(ctx, address, request)
 }
 
-// Guards against a published change that is not fetched while an earlier question to another instance,
-// which a cut has swallowed, waits for its answer.
+// Guards against a published change that is not fetched while an earlier request to another
+// instance, lost in a network partition, waits for its reply.
 func TestChangeIsFetchedBesideAQuestionInVain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, _ := newHanding(nil)
+		first, _ := newServingPublisher(nil)
 		first.followers["k"].applyList(store.Listing{
 			Position: store.At(7), Objects: []store.Object{{Key: "k/main", Position: store.At(7), Value: []byte("7")}},
 		})
-		_, peers := newHanding(first)
-		f := &Follower{Kind: "k", Copy: &newest{}}
-		p := NewPublisher("p", map[string]*Follower{"k": f}, &halfSilentPeers{peers}, TimingFor(longestStaleness))
+		_, peers := newServingPublisher(first)
+		f := &Follower{Kind: "k", Copy: &versionRecorder{}}
+		p := NewPublisher("p", map[string]*Follower{"k": f}, &halfSilentPeers{peers}, TimingFor(maxStaleness))
 		f.applyList(store.Listing{Position: store.At(2), Objects: []store.Object{{Key: "k/main", Position: store.At(2)}}})
 		p.AskAround(t.Context())
 		p.Take(&followpb.Confirmation{From: "first", Copies: []*followpb.CopyState{{Name: "k", LastChange: 7}}})
-		time.Sleep(longestStaleness / 10)
-		if have := f.fresh.upTo(); have != store.At(7) {
-			t.Errorf("the copy is at %v", have)
+		time.Sleep(maxStaleness / 10)
+		if have := f.fresh.currentPosition(); have != store.At(7) {
+			t.Errorf("the copy is at %v, want 7", have)
 		}
 		time.Sleep(fetchTimeout)
 	})
--- a/pkg/follow/era_test.go
+++ b/pkg/follow/era_test.go
@@ -10,8 +10,8 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// goBack has the store come back from a copy of a version, under the next era.
-func (s *lossyStore) goBack(version store.Version) {
+// restoreFromCopy simulates a store restored from a copy made at a version, under the next era.
+func (s *lossyStore) restoreFromCopy(version store.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision = store.Position{Era: s.revision.Era + 1, Version: version}
@@ -19,33 +19,34 @@
 	s.changed = make(chan struct{})
 }
 
-// A dropped route is served, and an upstream that leaves gets work, long after the change: the store
-// came back from a copy, and what is written again has lower versions than the copies had. Proof:
-// every instance is in the later era within a second, also those that do not ask the store, and has
-// what is written there within half of the bound; twice in a row, with some messages lost. Where the
-// store was silent before, a watch may be lost as well, and the era is known within the bound.
+// Guards against copies that ignore changes after the store was restored from a copy, because the
+// new versions are lower than theirs: a dropped route is served, and an upstream that leaves gets
+// requests, long after the change. Every instance, also one that does not call the store, must
+// reach the later era within a second and have changes written there within half of the bound,
+// twice in a row and with some messages lost. Where the store was silent before, a watch may be
+// lost as well, and the era must be reached within the bound.
 func TestCopiesFollowTheStoreIntoALaterEra(t *testing.T) {
 	for _, c := range []struct {
 		size   int
 		silent time.Duration
 		within time.Duration
-		// changeWithin is the time for a change: a watch may be lost with the silence, which is
-		// noticed within the bound.
+		// changeWithin is the time allowed for a change: a watch may be lost during the silence,
+		// which is detected within the bound.
 		changeWithin time.Duration
 	}{
-		{1, 0, time.Second, longestStaleness / 2},
-		{9, 0, time.Second, longestStaleness / 2},
-		{73, 0, time.Second, longestStaleness / 2},
-		{295, 0, time.Second, longestStaleness / 2},
-		{9, 100 * time.Millisecond, longestStaleness, longestStaleness},
-		{295, 300 * time.Millisecond, longestStaleness, longestStaleness},
+		{1, 0, time.Second, maxStaleness / 2},
+		{9, 0, time.Second, maxStaleness / 2},
+		{73, 0, time.Second, maxStaleness / 2},
+		{295, 0, time.Second, maxStaleness / 2},
+		{9, 100 * time.Millisecond, maxStaleness, maxStaleness},
+		{295, 300 * time.Millisecond, maxStaleness, maxStaleness},
 	} {
 		size := c.size
 		t.Run(fmt.Sprintf("%d, silent for %v", size, c.silent), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fleet := startFleet(t.Context(), history{size: size, answerTime: answerTime, loseEvery: 100})
+				fleet := startFleet(t.Context(), fleetOptions{size: size, answerTime: answerTime, lossInterval: 100})
 				defer fleet.end()
-				time.Sleep(silentAfter)
+				time.Sleep(deathDetectionTime)
 				for range 30 {
 					fleet.store.change()
 				}
@@ -54,14 +55,14 @@
 					fleet.store.loseAnswers(c.silent > 0)
 					time.Sleep(c.silent)
 					fleet.store.loseAnswers(false)
-					fleet.store.goBack(5)
+					fleet.store.restoreFromCopy(5)
 					time.Sleep(c.within)
-					behind := fleet.notIn(fleet.store.era())
+					notInEra := fleet.numNotInEra(fleet.store.era())
 					fleet.store.change()
 					version, _, _ := fleet.store.state()
 					time.Sleep(c.changeWithin)
-					if late := fleet.behind(version); late > 0 || behind > 0 {
-						t.Errorf("%d not in the later era after %v, %d lack its change after another %v", behind, c.within, late, c.changeWithin)
+					if late := fleet.numBehind(version); late > 0 || notInEra > 0 {
+						t.Errorf("%d not in the later era after %v, %d lack its change after another %v", notInEra, c.within, late, c.changeWithin)
 					}
 				}
 			})
@@ -69,11 +70,11 @@
 	}
 }
 
-// notIn returns how many copies are of another era than the store.
-func (f *fleetOfCopies) notIn(era store.Era) int {
+// numNotInEra returns the number of copies that are in another era than the store.
+func (f *testFleet) numNotInEra(era store.Era) int {
 	count := 0
-	for _, m := range f.members {
-		if m.follow.fresh.upTo().Era != era {
+	for _, inst := range f.instances {
+		if inst.follow.fresh.currentPosition().Era != era {
 			count++
 		}
 	}
@@ -85,9 +86,9 @@
 	return revision.Era
 }
 
-// An instance starts after the store came back from a copy, and before operators have written again
-// what it lost. It gets its configuration from another, which must hand on the document that is in
-// force and not the older one that the store has: routes that were dropped would be served again.
+// Guards against dropped routes that are served again: an instance starts after the store was
+// restored from a copy, and before operators have written the lost changes again. Another instance
+// must serve it the document in force, not the older one in the store.
 func TestDocumentOfAHigherNumberIsHandedOn(t *testing.T) {
 	number := func(value []byte) uint64 {
 		n, _ := strconv.ParseUint(string(value), 10, 64)
@@ -98,7 +99,7 @@
 	}
 	c := &contents{number: number}
 	value := func(key string) string {
-		for _, o := range c.after(store.NoPosition).Objects {
+		for _, o := range c.changesAfter(store.NoPosition).Objects {
 			if o.Key == key {
 				return string(o.Value)
 			}
@@ -110,7 +111,7 @@
 	c.replace(older)
 	c.replace(older)
 	if value("a") != "7" || value("b") != "3" {
-		t.Errorf("after the store went back: a %s, b %s", value("a"), value("b"))
+		t.Errorf("after the store was restored: a %s, want 7; b %s, want 3", value("a"), value("b"))
 	}
 	apply := func(value string, version store.Version) {
 		position := store.Position{Era: 2, Version: version}
@@ -118,10 +119,10 @@
 	}
 	apply("6", 5)
 	if value("a") != "7" {
-		t.Errorf("a document of a lower number is handed on: %s", value("a"))
+		t.Errorf("a document with a lower number is served: %s", value("a"))
 	}
 	apply("8", 6)
 	if value("a") != "8" {
-		t.Errorf("the newer document is not: %s", value("a"))
+		t.Errorf("the newer document is not served: %s", value("a"))
 	}
 }
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -1,20 +1,22 @@
-// Package follow keeps a copy of one kind of objects of the store up to date, and keeps it
-// confirmed that the copy is complete.
+// Package follow keeps a local copy of one kind of store objects up to date, and keeps track of
+// whether the copy is known to be complete.
 //
-// One instance of a region, the publisher, sends short watches and hands on what they say: that
-// nothing changed, or the changes themselves. The others ask the store only while nobody
-// confirms their copies, so what copies cost the store does not grow with the fleet. If each
-// waited on the store, each change ended all their watches and each outage had all ask anew:
-// of 295 instances that was two of three calls.
+// One instance of a region, the publisher, sends watches with a short timeout and publishes their
+// results to the other instances: a confirmation that nothing changed, or the changes themselves.
+// The other instances call the store only while nobody confirms their copies, so the load of the
+// store does not grow with the fleet. If every instance watched the store, each change would end
+// all their watches, and after each outage all of them would call again: with 295 instances that
+// was two of three calls.
 //
-// A watch that waits says nothing of whether its answer can still come. An answer that is lost
-// on the way leaves a connection that stands and is acknowledged by the other end's kernel, so
-// no probe finds it; the copy would be old until the wait is over. So watches are short: the
-// loss of one is noticed within the time that a change may take.
+// A pending watch does not show whether its answer can still arrive. When an answer is lost on the
+// way, the connection stays up and the kernel of the other end still acknowledges it, so no
+// keep-alive probe detects the loss, and the copy would be outdated until the watch times out.
+// Watches are therefore short: the loss of one is detected within the time that a change may take.
 //
-// Positions order everything: whoever tells, a copy only moves to a later one, and changes are
-// applied only to a copy that has all before them. When the store comes back from a copy of
-// itself, a copy here moves to the later era, whose versions are lower, by a whole list.
+// All updates are ordered by position: whatever their source, a copy only moves to a later
+// position, and changes are applied only to a copy that has all changes before them. When the store
+// is restored from a copy of itself, the copy here moves to the later era, whose versions are
+// lower, by reading a whole list.
 package follow
 
 import (
@@ -29,220 +31,228 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Pace of a follower.
+// Pacing of a follower.
 const (
-	// gather is the pause after a change: changes come in groups (upstreams that
-	// start together, one version after the other), and each watch that returns is
-	// a call, and a message to each other instance. The first change after a quiet time is not
-	// delayed, a later one by less than a sixth of the shortest time that the users'
-	// deployments allow (2 s).
-	gather = 300 * time.Millisecond
-	// confirmGrace is how long after the store is back those that do not publish wait for the word
-	// of those that do.
-	confirmGrace = 300 * time.Millisecond
-	// wholeAfter is for how long a copy of few objects is unconfirmed before it is read whole.
-	wholeAfter = 3 * time.Second
-	// gatePoll is how often a follower looks whether it may ask, or needs to.
-	gatePoll = 50 * time.Millisecond
-	// firstPause and longestPause bound the pace of failing calls, which doubles in
-	// between: short enough to be up to date within a second of the store's return, long
-	// enough to bound the calls to one that refuses. The time that a call took to fail
-	// counts: one that was not answered has waited long enough.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 800 * time.Millisecond
+	// coalescePause is the pause after a change. Changes come in groups (upstreams that start
+	// together, successive versions), and each watch that returns costs a call and a message to
+	// each other instance. The first change after a quiet period is not delayed; a later one is
+	// delayed by less than a sixth of the shortest bound of the users' deployments (2 s).
+	coalescePause = 300 * time.Millisecond
+	// recoveryGrace is how long, after the store has recovered, instances that do not publish wait
+	// for the confirmations of those that do.
+	recoveryGrace = 300 * time.Millisecond
+	// listAfter is how long a copy of few objects is unconfirmed before it is read by a list
+	// instead of a watch.
+	listAfter = 3 * time.Second
+	// breakerPollInterval is how often a follower checks whether it may call the store, or still
+	// needs to.
+	breakerPollInterval = 50 * time.Millisecond
+	// minRetryPause and maxRetryPause bound the pause between failing calls, which doubles from one
+	// to the other: short enough to be up to date within a second of the store's recovery, long
+	// enough to bound the number of calls to a store that refuses them. The duration of the failed
+	// call is subtracted from the pause, so a call that timed out is not followed by a full pause.
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 800 * time.Millisecond
 )
 
-// Copy takes what the store has.
+// Copy receives what the follower reads from the store.
 type Copy interface {
-	// Replace takes a whole list.
+	// Replace replaces the copy by a whole list.
 	Replace(list store.Listing)
-	// Apply takes the changes of a watch.
+	// Apply applies the changes that a watch returned.
 	Apply(changes store.Changes)
 }
 
-// Follower follows one kind.
+// Follower keeps the copy of one kind of objects up to date.
 type Follower struct {
 	Store store.Watcher
 	Kind  string
 	Copy  Copy
-	// Timing is how long the steps take; zero for that of DefaultBound.
+	// Timing holds the timeouts; the zero value stands for TimingFor(DefaultBound).
 	Timing Timing
-	// ConfirmTimeout returns how long confirmations by other instances may be missing
-	// before this one sends short watches; nil or 0 for always.
+	// ConfirmTimeout returns how long confirmations by other instances may be missing before this
+	// instance watches the store itself; nil or 0 to watch always.
 	ConfirmTimeout func() time.Duration
-	// Lost is told of each failed call, Found of the first that succeeds after, or of others'
-	// reaching the store, and whether the store had been away for all; Renewed is told each time
-	// that this instance begins to ask the store itself, why, and for how long others' word did.
-	// Each may be nil.
+	// CallFailed is called for each failed call. StoreRecovered is called for the first call that
+	// succeeds afterwards, or when confirmations show that other instances reach the store; its
+	// argument tells whether the store was unavailable to all instances. WatchStarted is called
+	// each time this instance begins to watch the store itself, with the reason and the time for
+	// which the confirmations of others sufficed. Each may be nil.
 	Lost    func(err error)
 	Found   func(outage bool)
 	Renewed func(reason Reason, waited time.Duration)
-	// OutageEnded is told that the store is back for another instance that this one has its
-	// changes from, and for how long. It may be nil.
+	// OutageEnded is called with the time since an outage of the store ended, when another instance
+	// reports that end; it may be nil.
 	OutageEnded func(ago time.Duration)
-	// Answered is told of each answered call, and whether it brought a change. It may be nil.
-	Answered func(changed bool)
-	// EraReached is told when another instance's copy brought this one into a later era of the
-	// store; it may be nil.
+	// CallAnswered is called for each call that the store answered, with whether the answer
+	// contained a change; it may be nil.
+	CallAnswered func(changed bool)
+	// EraReached is called when another instance's copy moved this one to a later era of the store;
+	// it may be nil.
 	EraReached func(store.Era)
-	// Unheard is told that confirmations fail to come, a while before the store is asked. It
-	// asks other instances and returns at once; it may be nil.
-	Unheard func(ctx context.Context)
-	// Obtain gets a first copy from another instance and reports whether one had it; it may
-	// be nil.
+	// ConfirmationsMissing is called when confirmations stop arriving, some time before the store
+	// is called. It queries other instances and must not block; it may be nil.
+	ConfirmationsMissing func(ctx context.Context)
+	// FetchInitial fetches a first copy from another instance and reports whether one had it; it
+	// may be nil.
 	Obtain func(ctx context.Context) bool
-	// Number returns the number that an object's writer gave its content and that only rises; it
-	// may be nil. Content of a higher number than the store's is kept and handed on.
+	// Number returns the number that an object's writer assigned to its content and that only
+	// increases; it may be nil. Content with a higher number than the store's is retained and
+	// served to other instances.
 	Number func(value []byte) uint64
-	// Gate is shared by the followers of one instance; it may be nil.
-	Gate *Gate
-	// Probes reports whether this follower is the one that asks a store which does not answer; nil
-	// for always.
-	Probes func() bool
+	// Breaker is shared by the followers of one instance; it may be nil.
+	Breaker *CircuitBreaker
+	// MayProbe reports whether this follower is the one that probes a store which does not answer;
+	// nil for always.
+	MayProbe func() bool
 
-	beat     beat
+	schedule watchSchedule
 	fresh    freshness
 	contents contents
-	// applying orders what the store and other instances say of this copy.
-	applying sync.Mutex
-	// failing says that the store did not answer the last call; touched by Run only.
+	// applyMu serializes the updates of the copy from the store and from other instances.
+	applyMu sync.Mutex
+	// failing is set while the last call was not answered by the store; used by Run only.
 	failing bool
-	// mustList says that the store's history is gone: only its list tells what it has.
-	mustList bool
+	// needsList is set when the store no longer has the history after the copy's position, so only
+	// a list can tell the current state.
+	needsList bool
 }
 
-// Run follows until ctx ends.
+// Run keeps the copy up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	wait := firstPause
+	wait := minRetryPause
 	for ctx.Err() == nil {
-		if f.failing && !f.fresh.upTo().IsZero() && !f.WatchesShort() {
-			f.reached() // others reach the store, and confirm this copy
+		if f.failing && !f.fresh.currentPosition().IsZero() && !f.WatchesStore() {
+			f.recordSuccess() // other instances reach the store and confirm this copy
 		}
 		if !f.failing {
-			wait = firstPause
+			wait = minRetryPause
 		}
 		began := time.Now()
-		err := f.once(ctx)
-		var untrusted *UntrustedError
+		err := f.step(ctx)
+		var staleErr *StaleCopyError
 		switch {
-		case errors.Is(err, errNotNow):
-			if f.Gate.Away() && !f.failing {
-				f.lost(err)
+		case errors.Is(err, errCallDeferred):
+			if f.Breaker.StoreDown() && !f.failing {
+				f.recordFailure(err)
 			}
-			pause.For(ctx, gatePoll)
+			pause.For(ctx, breakerPollInterval)
 		case err == nil:
 		case ctx.Err() != nil:
-		case errors.As(err, &untrusted):
+		case errors.As(err, &staleErr):
 			if f.Renewed != nil {
-				f.Renewed(untrusted.Reason, time.Since(began))
+				f.Renewed(staleErr.Reason, time.Since(began))
 			}
 		case errors.Is(err, store.ErrHistoryGone):
-			f.fresh.forget() // changes were missed: the list is read anew
-			f.mustList = true
+			f.fresh.reset() // changes were missed: read the list again
+			f.needsList = true
 		default:
-			f.lost(err)
-			paced := wait/2 + rand.N(wait/2)
-			pause.For(ctx, max(paced-time.Since(began), firstPause))
-			wait = min(2*wait, longestPause)
+			f.recordFailure(err)
+			delay := wait/2 + rand.N(wait/2)
+			pause.For(ctx, max(delay-time.Since(began), minRetryPause))
+			wait = min(2*wait, maxRetryPause)
 		}
 	}
 }
 
-// lost notes that the store does not answer.
-func (f *Follower) lost(err error) {
+// recordFailure records that the store did not answer.
+func (f *Follower) recordFailure(err error) {
 	f.failing = true
 	if f.Lost != nil {
 		f.Lost(err)
 	}
 }
 
-// reached notes that the store answers. It comes before anything is published: what is told to the others
-// says whether an outage has ended, and who hears a confirmation that does not takes the store for never away.
-func (f *Follower) reached() {
+// recordSuccess records that the store answered. It must be called before anything is published: a
+// confirmation carries whether an outage has ended, and an instance that receives one without that
+// mark assumes that there was no outage.
+func (f *Follower) recordSuccess() {
 	if f.failing {
 		f.failing = false
-		f.found()
+		f.reportRecovery()
 	}
 }
 
-func (f *Follower) found() {
-	// While others confirmed this copy the store was away for this instance only, and no entry of
-	// a live upstream has lapsed: taken for an outage's end, entries that are removed would be kept
-	// everywhere, and the upstreams that have left would get work.
+func (f *Follower) reportRecovery() {
+	// While other instances confirmed this copy, the store was unavailable to this instance only,
+	// and no entry of a live upstream has expired. If this were treated as the end of an outage,
+	// removed entries would be kept at all instances, and upstreams that have left would get
+	// requests.
 	outage := !f.ConfirmedLately()
 	if outage {
-		f.fresh.returned(0)
+		f.fresh.recordOutageEnd(0)
 	}
 	if f.Found != nil {
 		f.Found(outage)
 	}
 }
 
-// outageEnded notes that the store answers another instance again after an outage that this one
-// may not have noticed, since it asks the store for nothing itself. Each end is told several
-// times, and counts once.
-func (f *Follower) outageEnded(ago time.Duration) {
-	if f.fresh.returned(ago) && f.OutageEnded != nil {
+// handleOutageEnd records that the store answers another instance again after an outage. This
+// instance may not have noticed the outage, since it does not call the store itself. Each end is
+// reported several times and counts once.
+func (f *Follower) handleOutageEnd(ago time.Duration) {
+	if f.fresh.recordOutageEnd(ago) && f.OutageEnded != nil {
 		f.OutageEnded(ago)
 	}
 }
 
-// errNotNow means that another follower of this instance asks a store that does not answer.
-var errNotNow = errors.New("another call probes the store")
+// errCallDeferred means that the store was not called: another follower of this instance probes a
+// store that does not answer, or the publishers' confirmations are awaited.
+var errCallDeferred = errors.New("store call deferred: another copy is probing the store")
 
-// once gets a first copy, or waits for what changes.
-func (f *Follower) once(ctx context.Context) error {
-	since := f.fresh.upTo()
+// step gets a first copy, or waits for changes.
+func (f *Follower) step(ctx context.Context) error {
+	since := f.fresh.currentPosition()
 	switch {
 	case since.IsZero():
-		return f.begin(ctx)
-	case f.WatchesShort():
+		return f.loadInitial(ctx)
+	case f.WatchesStore():
 		return f.watch(ctx, since)
 	}
-	return f.receive(ctx)
+	return f.waitWhileConfirmed(ctx)
 }
 
-// begin gets a first copy, from another instance if one has it.
-func (f *Follower) begin(ctx context.Context) error {
-	if !f.mustList && f.Obtain != nil && f.Obtain(ctx) {
+// loadInitial gets a first copy, from another instance if one has it.
+func (f *Follower) loadInitial(ctx context.Context) error {
+	if !f.needsList && f.Obtain != nil && f.Obtain(ctx) {
 		return nil
 	}
 	return f.list(ctx)
 }
 
-// list reads the whole copy.
+// list reads the whole copy from the store.
 func (f *Follower) list(ctx context.Context) error {
-	if !f.enter() {
-		return errNotNow
+	if !f.allowCall() {
+		return errCallDeferred
 	}
-	list, err := hedged(ctx, f.hedge(), func(ctx context.Context) (store.Listing, error) {
+	list, err := hedged(ctx, f.hedgeDelay(), func(ctx context.Context) (store.Listing, error) {
 		return f.Store.List(ctx, f.Kind)
 	})
-	f.Gate.Leave(err == nil)
+	f.Breaker.Record(err == nil)
 	if err != nil {
 		return err
 	}
-	f.mustList = false
-	f.reached()
-	f.answered(f.applyList(list))
+	f.needsList = false
+	f.recordSuccess()
+	f.notifyAnswered(f.applyList(list))
 	return nil
 }
 
-// enter reports whether a call to the store may be made now; its end is told to the gate. A store
-// that does not answer is asked for one copy only.
-func (f *Follower) enter() bool {
-	if f.Gate.Closed() && f.Probes != nil && !f.Probes() {
+// allowCall reports whether the store may be called now; the result of the call must be passed to
+// Breaker.Record. A store that does not answer is called for one copy only.
+func (f *Follower) allowCall() bool {
+	if f.Breaker.Tripped() && f.MayProbe != nil && !f.MayProbe() {
 		return false
 	}
-	return f.Gate.Enter()
+	return f.Breaker.Allow()
 }
 
-// applyList takes in a whole list, unless this copy is already further, and reports whether it
-// brought a change.
+// applyList applies a whole list, unless this copy is already at a later position, and reports
+// whether the list contained a change.
 func (f *Follower) applyList(list store.Listing) (changed bool) {
-	f.applying.Lock()
-	defer f.applying.Unlock()
-	since := f.fresh.upTo()
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
+	since := f.fresh.currentPosition()
 	if list.Position.Before(since) {
 		return false
 	}
@@ -253,147 +263,151 @@
 		f.contents.apply(store.Changes{Position: list.Position})
 		f.Copy.Apply(store.Changes{Position: list.Position})
 	}
-	f.fresh.reach(list.Position, last)
+	f.fresh.recordRead(list.Position, last)
 	return since.Before(last)
 }
 
-// replace takes a whole list; f.applying is held.
+// replace replaces the copy by a whole list. f.applyMu must be held.
 func (f *Follower) replace(list store.Listing) {
 	f.contents.number = f.Number
 	f.contents.replace(list)
 	f.Copy.Replace(list)
 }
 
-func (f *Follower) answered(changed bool) {
-	if f.Answered != nil {
-		f.Answered(changed)
+func (f *Follower) notifyAnswered(changed bool) {
+	if f.CallAnswered != nil {
+		f.CallAnswered(changed)
 	}
 }
 
-// watch asks the store what changed, and waits for it shortly.
+// watch calls the store for the changes after a position, with a short timeout.
 func (f *Follower) watch(ctx context.Context, since store.Position) error {
 	if f.awaitsPublishers() {
-		return errNotNow
+		return errCallDeferred
 	}
-	if f.readsWhole() {
-		return f.readWhole(ctx)
+	if f.prefersList() {
+		return f.listInsteadOfWatch(ctx)
 	}
-	if !f.enter() {
-		return errNotNow
+	if !f.allowCall() {
+		return errCallDeferred
 	}
-	changes, err := f.ask(ctx, since)
-	f.Gate.Leave(err == nil || errors.Is(err, store.ErrHistoryGone))
+	changes, err := f.callWatch(ctx, since)
+	f.Breaker.Record(err == nil || errors.Is(err, store.ErrHistoryGone))
 	if err != nil {
 		return err
 	}
-	f.reached()
-	if !f.applyRead(since, changes) {
-		return nil // another instance was faster: what follows is asked for from there
+	f.recordSuccess()
+	if !f.applyWatched(since, changes) {
+		return nil // another instance's contents were applied first; the next watch starts at their position
 	}
 	changed := len(changes.Changes) > 0
-	f.answered(changed)
+	f.notifyAnswered(changed)
 	if changed {
-		pause.For(ctx, gather)
+		pause.For(ctx, coalescePause)
 	}
 	return nil
 }
 
-// readsWhole reports that the list costs less than a watch: of an object that has changed often, as
-// the configuration in a storm of versions, a watch tells each version. Read by each of hundreds of
-// instances once a cut of all is over, these fill the store's link for seconds.
-func (f *Follower) readsWhole() bool {
-	if !f.contents.few() {
+// prefersList reports whether a list costs less than a watch. For an object that has changed often,
+// such as the configuration after many updates in a row, a watch returns every version. When a
+// network partition of all instances ends and hundreds of them read all these versions, they
+// saturate the store's link for seconds.
+func (f *Follower) prefersList() bool {
+	if !f.contents.isSmall() {
 		return false
 	}
 	age, known := f.fresh.age()
-	return !known || age > wholeAfter || f.fresh.lacksPublished()
+	return !known || age > listAfter || f.fresh.isBehind()
 }
 
-// readWhole reads the list in place of a watch. The pause bounds the calls where a peer has published a
-// position that the store never reaches.
-func (f *Follower) readWhole(ctx context.Context) error {
+// listInsteadOfWatch reads the list instead of watching. The pause bounds the number of calls in
+// case a peer has published a position that the store never reaches.
+func (f *Follower) listInsteadOfWatch(ctx context.Context) error {
 	if err := f.list(ctx); err != nil {
 		return err
 	}
-	pause.For(ctx, gather)
+	pause.For(ctx, coalescePause)
 	return nil
 }
 
-// awaitsPublishers reports that the store has just come back: the few that publish confirm the copies
-// of all the others in a moment, and each that asked for itself were a call for each copy.
+// awaitsPublishers reports whether the store has just recovered. The publishing instances will
+// shortly confirm the copies of all others; if each instance called the store itself, that would be
+// one call for each copy.
 func (f *Follower) awaitsPublishers() bool {
-	return f.confirmTimeout() > 0 && f.Gate.reopenedWithin(confirmGrace)
+	return f.confirmTimeout() > 0 && f.Breaker.recoveredWithin(recoveryGrace)
 }
 
-// hedge is after how long a call without an answer is made a second time. While the store does not
-// answer, calls are no more than probes: made twice, each outage has twice the calls.
-func (f *Follower) hedge() time.Duration {
-	if f.Gate.Closed() {
-		return neverHedged
-	}
-	return f.timing().Hedge
+// hedgeDelay returns the time after which a call without an answer is sent a second time. While the
+// store does not answer, calls are only probes, and hedging them would double the calls of each
+// outage.
+func (f *Follower) hedgeDelay() time.Duration {
+	if f.Breaker.Tripped() {
+		return noHedge
+	}
+	return f.timing().HedgeDelay
 }
 
-// neverHedged is longer than any call.
-const neverHedged = time.Hour
+// noHedge exceeds the duration of any call.
+const noHedge = time.Hour
 
-// ask makes the call of a watch. Who has not asked for long, or was not answered, does not wait
-// for news: what it may lack is there, and the sooner a call is known to be lost, the sooner the
-// next is sent.
-func (f *Follower) ask(ctx context.Context, since store.Position) (store.Changes, error) {
+// callWatch sends a watch. If the last answer is older than a watch's timeout, or the last call
+// failed, the watch does not wait for changes: those that the copy may lack exist already, and the
+// sooner a call is known to be lost, the sooner the next one is sent.
+func (f *Follower) callWatch(ctx context.Context, since store.Position) (store.Changes, error) {
 	timing := f.timing()
-	if age, read := f.fresh.readAge(); f.Gate.Closed() || !read || age > timing.Wait {
-		return hedged(ctx, f.hedge(), func(ctx context.Context) (store.Changes, error) {
+	if age, read := f.fresh.readAge(); f.Breaker.Tripped() || !read || age > timing.WatchTimeout {
+		return hedged(ctx, f.hedgeDelay(), func(ctx context.Context) (store.Changes, error) {
 			return f.Store.Watch(ctx, f.Kind, since, 0)
 		})
 	}
-	wait := timing.Wait
-	if f.beat.every > 0 {
-		wait = f.beat.left()
+	wait := timing.WatchTimeout
+	if f.schedule.interval > 0 {
+		wait = f.schedule.untilNext()
 	}
 	return f.Store.Watch(ctx, f.Kind, since, wait)
 }
 
-// applyRead takes in what the store says changed after a position, if that is still this
-// copy's. Otherwise an object could be put back to what it was before.
-func (f *Follower) applyRead(since store.Position, changes store.Changes) bool {
-	f.applying.Lock()
-	defer f.applying.Unlock()
-	if f.fresh.upTo() != since {
+// applyWatched applies the changes that the store returned for a position, if the copy is still at
+// that position. Otherwise an object could be reverted to an older state.
+func (f *Follower) applyWatched(since store.Position, changes store.Changes) bool {
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
+	if f.fresh.currentPosition() != since {
 		return false
 	}
 	f.contents.apply(changes)
-	f.Copy.Apply(lastOfEach(changes))
-	f.fresh.reach(changes.Position, lastChange(changes))
+	f.Copy.Apply(lastChangePerKey(changes))
+	f.fresh.recordRead(changes.Position, lastChangePosition(changes))
 	return true
 }
 
-// Take takes in what another instance hands on, and reports whether it was of use: whether it
-// follows on what this copy has, and goes further.
-func (f *Follower) Take(c *followpb.Contents) bool {
-	f.applying.Lock()
-	defer f.applying.Unlock()
-	since, upTo := f.fresh.upTo(), positionOf(c)
+// ApplyContents applies contents received from another instance and reports whether they were
+// useful, that is, whether they are contiguous with this copy and end at a later position.
+func (f *Follower) ApplyContents(c *followpb.Contents) bool {
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
+	since, upTo := f.fresh.currentPosition(), positionOf(c)
 	follows := upTo.Era == since.Era && store.Version(c.Since) <= since.Version
 	if !since.Before(upTo) || (!c.Whole && !follows) {
 		return false
 	}
 	if c.Whole {
-		f.replace(listing(c))
+		f.replace(listingFrom(c))
 	} else {
-		changes := changesOf(c)
+		changes := changesFrom(c)
 		f.contents.apply(changes)
 		f.Copy.Apply(changes)
 	}
-	f.fresh.handed(upTo, lastChangeOf(c))
+	f.fresh.advance(upTo, lastChangeOf(c))
 	if upTo.Era > since.Era && f.EraReached != nil {
 		f.EraReached(upTo.Era)
 	}
 	return true
 }
 
-// lastOfEach keeps the last change of each object: what is superseded need not come into force.
-func lastOfEach(changes store.Changes) store.Changes {
+// lastChangePerKey keeps only the last change of each object, so superseded changes are not
+// applied.
+func lastChangePerKey(changes store.Changes) store.Changes {
 	last := make(map[string]int, len(changes.Changes))
 	for n, change := range changes.Changes {
 		last[change.Object.Key] = n
@@ -410,9 +424,9 @@
 	return out
 }
 
-// lastChange returns the position of the last change, or a later one: that of a deletion is
-// not told, so the answer's own stands for it.
-func lastChange(changes store.Changes) store.Position {
+// lastChangePosition returns the position of the last change, or a later one: the position of a
+// deletion is not known, so that of the whole answer is used instead.
+func lastChangePosition(changes store.Changes) store.Position {
 	last := store.Position{Era: changes.Position.Era}
 	for _, change := range changes.Changes {
 		if change.Deleted {
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -11,47 +11,47 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// script is a store whose watches answer what stands in a list, one after the other.
-type script struct {
+// scriptedStore is a store whose watches return a list of answers, one after the other.
+type scriptedStore struct {
 	store.Store
-	lists   int
-	watches []answer
-	asked   []store.Position
+	lists       int
+	watches     []scriptedAnswer
+	watchedFrom []store.Position
 }
 
-type answer struct {
+type scriptedAnswer struct {
 	changes store.Changes
 	err     error
 }
 
 // List implements store.Watcher.
-func (s *script) List(context.Context, string) (store.Listing, error) {
+func (s *scriptedStore) List(context.Context, string) (store.Listing, error) {
 	s.lists++
 	return store.Listing{Position: store.At(store.Version(10 * s.lists))}, nil
 }
 
 // Watch implements store.Watcher.
-func (s *script) Watch(ctx context.Context, _ string, since store.Position, _ time.Duration) (store.Changes, error) {
-	s.asked = append(s.asked, since)
-	if len(s.asked) > len(s.watches) {
+func (s *scriptedStore) Watch(ctx context.Context, _ string, since store.Position, _ time.Duration) (store.Changes, error) {
+	s.watchedFrom = append(s.watchedFrom, since)
+	if len(s.watchedFrom) > len(s.watches) {
 		<-ctx.Done()
 		return store.Changes{}, ctx.Err()
 	}
-	a := s.watches[len(s.asked)-1]
+	a := s.watches[len(s.watchedFrom)-1]
 	return a.changes, a.err
 }
 
-type counts struct{ replaced, applied, lost, found int }
+type copyCalls struct{ replaced, applied, lost, found int }
 
-func (c *counts) Replace(store.Listing) { c.replaced++ }
-func (c *counts) Apply(store.Changes)   { c.applied++ }
+func (c *copyCalls) Replace(store.Listing) { c.replaced++ }
+func (c *copyCalls) Apply(store.Changes)   { c.applied++ }
 
-// Watches are cut, the store refuses, and its history goes. The follower goes on
-// from the version that it has, reads the list anew where changes may have been
-// missed, and tells once when the store is back.
+// Guards against missed changes when watches are interrupted, the store refuses calls, and its
+// history is discarded. The follower must continue from its version, read the list again where
+// changes may have been missed, and report the store's recovery once.
 func TestFollowerMissesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{watches: []answer{
+		s := &scriptedStore{watches: []scriptedAnswer{
 			{changes: store.Changes{Position: store.At(12), Changes: []store.Change{{}}}},
 			{err: errors.New("cut")},
 			{err: store.ErrUnavailable},
@@ -59,15 +59,15 @@
 			{err: store.ErrHistoryGone},
 			{changes: store.Changes{Position: store.At(21)}},
 		}}
-		c := &counts{}
+		c := &copyCalls{}
 		f := &Follower{Store: s, Kind: "k", Copy: c, Lost: func(error) { c.lost++ }, Found: func(bool) { c.found++ }}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		f.Run(ctx)
-		if want := "[10 12 12 12 15 20 21]"; fmt.Sprint(s.asked) != want {
-			t.Errorf("watched from %v, want %s", s.asked, want)
+		if want := "[10 12 12 12 15 20 21]"; fmt.Sprint(s.watchedFrom) != want {
+			t.Errorf("watched from %v, want %s", s.watchedFrom, want)
 		}
-		if *c != (counts{replaced: 2, applied: 3, lost: 2, found: 1}) {
+		if *c != (copyCalls{replaced: 2, applied: 3, lost: 2, found: 1}) {
 			t.Errorf("got %+v", *c)
 		}
 	})
--- a/pkg/follow/freshness.go
+++ b/pkg/follow/freshness.go
@@ -7,177 +7,181 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// freshness is what is known of a copy's completeness. It is safe for concurrent use.
+// freshness records how complete a copy is known to be. It is safe for concurrent use.
 type freshness struct {
 	mu sync.Mutex
-	// since is the position up to which the copy has everything.
-	since store.Position
-	// changed is the position of the last known change, or a later one up to since.
-	changed store.Position
-	// read is when an own call was last answered, confirmed the time of the latest reading
-	// by which another instance confirmed the copy.
-	read, confirmed time.Time
-	// published is the last change that another instance published, missedSince when this
-	// copy first lacked it.
-	published   store.Position
-	missedSince time.Time
-	// lacks wakes who waits for what this copy may lack.
-	lacks chan struct{}
-	// returnedAt is when the store was last found to answer again after an outage.
-	returnedAt time.Time
-}
-
-func (s *freshness) upTo() store.Position {
+	// position is the position up to which the copy is complete.
+	position store.Position
+	// lastChanged is the position of the last known change, or a later one up to position.
+	lastChanged store.Position
+	// lastRead is when one of this instance's own calls was last answered. lastConfirmed is the
+	// time of the latest read by which another instance confirmed the copy.
+	lastRead, lastConfirmed time.Time
+	// lastPublished is the position of the last change that another instance published. behindSince
+	// is when this copy began to lack such a change.
+	lastPublished store.Position
+	behindSince   time.Time
+	// wakeup wakes a goroutine that waits for changes that this copy may lack.
+	wakeup chan struct{}
+	// outageEndedAt is when the store was last found to answer again after an outage.
+	outageEndedAt time.Time
+}
+
+func (s *freshness) currentPosition() store.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.since
+	return s.position
 }
 
-// positions returns the one up to which the copy has everything, and that of the last change.
+// positions returns the position up to which the copy is complete, and that of the last change.
 func (s *freshness) positions() (since, changed store.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.since, s.changed
+	return s.position, s.lastChanged
 }
 
-// forget makes the next call read the whole list, of this era or a later one.
-func (s *freshness) forget() {
+// reset makes the next call read the whole list, of this era or a later one.
+func (s *freshness) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.since.Version = 0
+	s.position.Version = 0
 }
 
-// reach notes an answered call.
-func (s *freshness) reach(since, changed store.Position) {
+// recordRead records an answered call.
+func (s *freshness) recordRead(since, changed store.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.since = store.Later(s.since, since)
-	s.changed = store.Later(s.changed, changed)
-	s.read = time.Now()
+	s.position = store.Later(s.position, since)
+	s.lastChanged = store.Later(s.lastChanged, changed)
+	s.lastRead = time.Now()
 }
 
-// handed notes that another instance handed on what changed up to a position.
-func (s *freshness) handed(upTo, changed store.Position) {
+// advance records that another instance supplied the changes up to a position.
+func (s *freshness) advance(upTo, changed store.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.since = store.Later(s.since, upTo)
-	s.changed = store.Later(s.changed, changed)
+	s.position = store.Later(s.position, upTo)
+	s.lastChanged = store.Later(s.lastChanged, changed)
 }
 
-// returned notes that an outage ended some time ago, and reports whether that is news: each end is
-// told several times, by instances that noticed it at different times, also after this one has
-// forgotten it.
-func (s *freshness) returned(ago time.Duration) bool {
+// recordOutageEnd records that an outage ended some time ago, and reports whether that end was not
+// known yet. Each end is reported several times, by instances that noticed it at different times,
+// and possibly after this instance has stopped reporting it itself.
+func (s *freshness) recordOutageEnd(ago time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := time.Now().Add(-ago)
-	if !s.returnedAt.IsZero() && at.Sub(s.returnedAt) < sameOutage {
+	if !s.outageEndedAt.IsZero() && at.Sub(s.outageEndedAt) < sameOutageTolerance {
 		return false
 	}
-	s.returnedAt = at
+	s.outageEndedAt = at
 	return true
 }
 
-// confirmedWithin reports whether another instance read the store lately.
+// confirmedWithin reports whether the copy was confirmed by a read of another instance within the
+// given age.
 func (s *freshness) confirmedWithin(age time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.confirmed.IsZero() && time.Since(s.confirmed) <= age
+	return !s.lastConfirmed.IsZero() && time.Since(s.lastConfirmed) <= age
 }
 
-// sinceOutage returns how long ago the last outage was over; false if that is long ago.
-func (s *freshness) sinceOutage() (time.Duration, bool) {
+// timeSinceOutage returns the time since the last outage ended; false if that is longer than
+// outageReportPeriod ago.
+func (s *freshness) timeSinceOutage() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ago := time.Since(s.returnedAt)
-	return ago, !s.returnedAt.IsZero() && ago < outageTold
+	ago := time.Since(s.outageEndedAt)
+	return ago, !s.outageEndedAt.IsZero() && ago < outageReportPeriod
 }
 
-// sameOutage is how far apart instances notice the end of one outage: some probe the store once in
-// 0.4 s, in calls that are given up after a second.
-const sameOutage = 2 * time.Second
+// sameOutageTolerance is how far apart instances may notice the end of one outage: some probe the
+// store once in 0.4 s, with calls that time out after a second.
+const sameOutageTolerance = 2 * time.Second
 
-// outageTold is for how long others are told of an outage's end: entries of live upstreams that
-// lapsed in it are written again within about two seconds.
-const outageTold = 3 * time.Second
+// outageReportPeriod is how long the end of an outage is reported to other instances: entries of
+// live upstreams that expired during the outage are written again within about two seconds.
+const outageReportPeriod = 3 * time.Second
 
-// confirm notes what another instance read. A position that this copy has reached confirms it
-// as of the time of that reading, also if the other has not seen this copy's last change yet;
-// a later one shows that it lacks something. The word of an era that is over says nothing.
+// confirm records what another instance read. If this copy has reached the position, it is
+// confirmed as of the time of that read, even if the other instance has not seen this copy's last
+// change yet; a later position shows that this copy lacks something. A confirmation from a past era
+// is ignored.
 func (s *freshness) confirm(lastChange store.Position, age time.Duration) (complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if lastChange.Era < s.since.Era {
+	if lastChange.Era < s.position.Era {
 		return true
 	}
-	if !s.since.Before(lastChange) {
-		if at := time.Now().Add(-age); at.After(s.confirmed) {
-			s.confirmed = at
+	if !s.position.Before(lastChange) {
+		if at := time.Now().Add(-age); at.After(s.lastConfirmed) {
+			s.lastConfirmed = at
 		}
 		return true
 	}
-	if !s.since.Before(s.published) {
-		s.missedSince = time.Now()
+	if !s.position.Before(s.lastPublished) {
+		s.behindSince = time.Now()
 	}
-	s.published = store.Later(s.published, lastChange)
+	s.lastPublished = store.Later(s.lastPublished, lastChange)
 	select {
-	case s.wake() <- struct{}{}:
-	default: // it will look anyway
+	case s.wakeupChan() <- struct{}{}:
+	default: // a wakeup is already pending
 	}
 	return false
 }
 
-// trusted returns for how long the copy may still be trusted without another answer, and
-// for what reason not longer; behindLimit is how long it may lack a published change.
-func (s *freshness) trusted(timeout, behindLimit time.Duration) (Reason, time.Duration) {
+// timeUntilStale returns how long the copy may still be relied on without another confirmation, and
+// the reason why not longer. behindLimit is how long it may lack a published change.
+func (s *freshness) timeUntilStale(timeout, behindLimit time.Duration) (Reason, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	unconfirmed := timeout - time.Since(s.confirmed)
-	if !s.since.Before(s.published) {
+	unconfirmed := timeout - time.Since(s.lastConfirmed)
+	if !s.position.Before(s.lastPublished) {
 		return Unconfirmed, unconfirmed
 	}
-	behind := behindLimit - time.Since(s.missedSince)
+	behind := behindLimit - time.Since(s.behindSince)
 	if behind <= unconfirmed {
 		return Behind, behind
 	}
 	return Unconfirmed, unconfirmed
 }
 
-// lacksPublished reports that another instance published a change which this copy lacks.
-func (s *freshness) lacksPublished() bool {
+// isBehind reports whether another instance published a change that this copy lacks.
+func (s *freshness) isBehind() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.since.Before(s.published)
+	return s.position.Before(s.lastPublished)
 }
 
-// lacking returns a channel that receives when the copy may lack a change.
-func (s *freshness) lacking() <-chan struct{} {
+// wakeups returns a channel that receives when the copy may lack a change.
+func (s *freshness) wakeups() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.wake()
+	return s.wakeupChan()
 }
 
-// wake returns the channel; s.mu is held.
-func (s *freshness) wake() chan struct{} {
-	if s.lacks == nil {
-		s.lacks = make(chan struct{}, 1)
+// wakeupChan returns the wakeup channel and creates it if needed. s.mu must be held.
+func (s *freshness) wakeupChan() chan struct{} {
+	if s.wakeup == nil {
+		s.wakeup = make(chan struct{}, 1)
 	}
-	return s.lacks
+	return s.wakeup
 }
 
-// readAge returns how long ago an own call was answered; false before the first.
+// readAge returns the time since one of this instance's own calls was last answered; false before
+// the first.
 func (s *freshness) readAge() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.read), !s.read.IsZero()
+	return time.Since(s.lastRead), !s.lastRead.IsZero()
 }
 
 func (s *freshness) age() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := s.read
-	if s.confirmed.After(last) {
-		last = s.confirmed
+	last := s.lastRead
+	if s.lastConfirmed.After(last) {
+		last = s.lastConfirmed
 	}
 	return time.Since(last), !last.IsZero()
 }
@@ -185,5 +189,5 @@
 func (s *freshness) lastChange() (store.Position, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changed, time.Since(s.read), !s.read.IsZero()
+	return s.lastChanged, time.Since(s.lastRead), !s.lastRead.IsZero()
 }
--- a/pkg/follow/hedge.go
+++ b/pkg/follow/hedge.go
@@ -7,43 +7,43 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// answered is how a call ended.
-type answered[T any] struct {
+// callResult is the outcome of a call.
+type callResult[T any] struct {
 	value T
 	err   error
 }
 
-// hedged makes a call, and if nothing of its answer has come after a time, makes it a second time
-// beside the first, over a connection of its own. The first answer counts. A call that is lost on
-// a connection that stands is noticed by nothing but its timeout, which alone is half of the
-// bound of a change. An answer that has begun is waited for: it is large, and asked for twice it
-// would take twice as long.
-func hedged[T any](ctx context.Context, after time.Duration, call func(context.Context) (T, error)) (T, error) {
+// hedged makes a call and, if no part of its answer has arrived after a delay, makes it a second
+// time in parallel over a connection of its own. The first answer counts. A call that is lost on a
+// connection that stays up is detected by nothing but its timeout, which alone is half of the bound
+// of a change. Once an answer has begun, it is awaited: it is large, and requesting it twice would
+// take twice as long.
+func hedged[T any](ctx context.Context, delay time.Duration, call func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	begun := make(chan struct{}, 2)
-	first := store.WithAnswerBegun(ctx, func() { begun <- struct{}{} })
-	ends := make(chan answered[T], 2)
+	answerBegun := make(chan struct{}, 2)
+	first := store.WithAnswerBegun(ctx, func() { answerBegun <- struct{}{} })
+	results := make(chan callResult[T], 2)
 	start := func(ctx context.Context) {
 		value, err := call(ctx)
-		ends <- answered[T]{value, err}
+		results <- callResult[T]{value, err}
 	}
 	go start(first)
-	timer := time.NewTimer(after)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
-	var second <-chan time.Time = timer.C
-	for running := 1; ; {
+	var hedgeDue <-chan time.Time = timer.C
+	for pending := 1; ; {
 		select {
-		case <-begun:
-			second = nil
-		case <-second:
-			second = nil
-			running++
+		case <-answerBegun:
+			hedgeDue = nil
+		case <-hedgeDue:
+			hedgeDue = nil
+			pending++
 			go start(store.WithNewConnection(ctx))
-		case end := <-ends:
-			running--
-			if end.err == nil || running == 0 {
-				return end.value, end.err
+		case result := <-results:
+			pending--
+			if result.err == nil || pending == 0 {
+				return result.value, result.err
 			}
 		}
 	}
--- a/pkg/follow/histories_test.go
+++ b/pkg/follow/histories_test.go
@@ -16,95 +16,98 @@
 
 // Flags of a long run: go test ./pkg/follow -run TestDrawnHistories -histories 1000 -size 295.
 var (
-	histories = flag.Int("histories", 0, "how many histories to draw; 0 for the short run")
-	size      = flag.Int("size", 295, "instances in each history, with -histories")
-	first     = flag.Uint64("first", 1, "seed of the first history, with -histories")
-	trace     = flag.Bool("trace", false, "print the course of the instance to which a change came last, if late")
+	numHistories = flag.Int("histories", 0, "how many histories to draw; 0 for the short run")
+	fleetSize    = flag.Int("size", 295, "instances in each history, with -histories")
+	firstSeed    = flag.Uint64("first", 1, "seed of the first history, with -histories")
+	trace        = flag.Bool("trace", false, "print the trace of the instance with the latest change, on failure")
 )
 
-// Bounds of a deployment of hundreds of instances.
+// Bounds of a deployment with hundreds of instances.
 const (
-	worldBound   = 4 * time.Second
-	worldContact = 5 * time.Second
-	// worldPartly is what is added to the bound while the store refuses some.
-	worldPartly = 8 * time.Second
-	// worldSettled is how long after the last disturbance all copies are looked at.
-	worldSettled = worldContact + worldBound
-	// worldReaders is how many instances read the store most.
-	worldReaders = 3
-	// worldStart is when the first disturbance may come.
-	worldStart = 5 * time.Second
+	simBound       = 4 * time.Second
+	simContactTime = 5 * time.Second
+	// simRefusalAllowance is added to the bound while the store refuses some instances.
+	simRefusalAllowance = 8 * time.Second
+	// simSettleTime is how long after the last disturbance all copies are checked.
+	simSettleTime = simContactTime + simBound
+	// simNumReaders is the number of instances that make most of the reads of the store.
+	simNumReaders = 3
+	// simWarmup is the time before the first disturbance.
+	simWarmup = 5 * time.Second
 )
 
-// lateness is how late changes came into force at instances in touch.
-type lateness struct {
-	// calm holds each change and instance while the store was sound, partly while it refused some.
-	calm, partly []time.Duration
-	// worst tells of the latest one, latest is its instance.
-	worst  string
-	latest int
-	// wrong tells of copies that are not what the store has at the end.
-	wrong []string
-	calls int
-	// course is that of the latest instance, with -trace.
-	course []string
+// delayReport holds the delays with which changes came into force at instances in contact.
+type delayReport struct {
+	// undisturbed holds a delay for each change and instance while the store was available to all,
+	// withRefusals those while it refused some instances.
+	undisturbed, withRefusals []time.Duration
+	// worst describes the longest delay relative to its bound; worstInstance is the index of its
+	// instance.
+	worst         string
+	worstInstance int
+	// mismatches describes copies that differ from the store at the end.
+	mismatches []string
+	calls      int
+	// worstTrace is the trace of that instance, with -trace.
+	worstTrace []string
 }
 
-// playHistory plays the history of a seed.
-func playHistory(ctx context.Context, seed uint64, instances int) lateness {
+// runHistory simulates the random history of a seed.
+func runHistory(ctx context.Context, seed uint64, instances int) delayReport {
 	random := rand.New(rand.NewPCG(seed, uint64(instances)))
-	w := newWorld(ctx, random, instances, worldBound)
-	w.populate()
-	w.start()
-	pause.For(ctx, worldStart)
-	w.disturb()
-	pause.For(ctx, worldSettled)
-	out := w.lateness()
-	out.calls, out.course = w.store.count(), w.instances[out.latest].course
-	for _, i := range w.instances {
+	sim := newSimulation(ctx, random, instances, simBound)
+	sim.populate()
+	sim.start()
+	pause.For(ctx, simWarmup)
+	sim.runDisturbances()
+	pause.For(ctx, simSettleTime)
+	out := sim.propagationDelays()
+	out.calls, out.worstTrace = sim.store.count(), sim.instances[out.worstInstance].trace
+	for _, i := range sim.instances {
 		for kind, copied := range i.copies {
-			if differs := copied.differs(); differs != "" {
-				out.wrong = append(out.wrong, fmt.Sprintf("instance %d, %s: %s", i.place, kind, differs))
+			if diff := copied.difference(); diff != "" {
+				out.mismatches = append(out.mismatches, fmt.Sprintf("instance %d, %s: %s", i.index, kind, diff))
 			}
 		}
 	}
-	w.end()
+	sim.end()
 	return out
 }
 
-// populate writes what stands before traffic starts.
-func (w *world) populate() {
-	w.write(worldRouting, "main", w.text(w.configBytes()))
+// populate writes the objects that exist before the disturbances start.
+func (sim *simulation) populate() {
+	sim.write(simRouting, "main", sim.randomBytes(sim.randomConfigSize()))
 	for n := range 100 {
-		w.write(worldUpstreams, fmt.Sprint("u", n), w.text(25))
+		sim.write(simUpstreams, fmt.Sprint("u", n), sim.randomBytes(25))
 	}
 }
 
-// configBytes draws how large a configuration is, compressed: some are the largest that a store holds.
-func (w *world) configBytes() int {
-	return []int{2_000, 6_000, 20_000, 45_000, 100_000}[w.drawn(5)]
+// randomConfigSize draws the compressed size of a configuration; some are the largest that a store
+// holds.
+func (sim *simulation) randomConfigSize() int {
+	return []int{2_000, 6_000, 20_000, 45_000, 100_000}[sim.randomIntN(5)]
 }
 
-// text returns bytes that cannot be compressed.
-func (w *world) text(size int) []byte {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// randomBytes returns incompressible bytes.
+func (sim *simulation) randomBytes(size int) []byte {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	text := make([]byte, size)
 	for n := range text {
-		text[n] = byte(w.random.Uint32())
+		text[n] = byte(sim.random.Uint32())
 	}
 	return text
 }
 
-// touched returns the last moment before one at which an instance was in touch, if there is one
-// after the given time.
-func touched(disturbed []span, from, until time.Time) (time.Time, bool) {
-	// In touch is who was undisturbed for the whole contact time before: what is left of
-	// [from, until) without the spans, each made longer by it.
+// lastInContact returns the last moment before until at which an instance was in contact, and
+// whether it is after from.
+func lastInContact(disturbed []span, from, until time.Time) (time.Time, bool) {
+	// An instance is in contact if it was undisturbed for the whole contact time before. The result
+	// is what remains of [from, until) without the spans, each extended by the contact time.
 	for moved := true; moved; {
 		moved = false
 		for _, s := range disturbed {
-			if s.from.Before(until) && until.Before(s.to.Add(worldContact)) {
+			if s.from.Before(until) && until.Before(s.to.Add(simContactTime)) {
 				until, moved = s.from, true
 			}
 		}
@@ -112,51 +115,51 @@
 	return until, from.Before(until)
 }
 
-// lateness returns how late changes were at instances in touch.
-func (w *world) lateness() lateness {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var out lateness
+// propagationDelays returns the delays of changes at instances in contact.
+func (sim *simulation) propagationDelays() delayReport {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	var out delayReport
 	worst := 0.0
-	undone := w.undone()
+	reverted := sim.revertedAt()
 	note := func(into *[]time.Duration, a arrival, disturbed []span, bound time.Duration) {
-		written := w.written[a.change]
-		until := a.at
-		if gone, ok := undone[a.change]; ok && gone.Before(until) {
-			until = gone
+		written := sim.writtenAt[a.change]
+		until := a.appliedAt
+		if revertedAt, ok := reverted[a.change]; ok && revertedAt.Before(until) {
+			until = revertedAt
 		}
-		at, in := touched(disturbed, later(written, a.born), until)
+		at, in := lastInContact(disturbed, later(written, a.startedAt), until)
 		if !in {
 			return
 		}
 		late := at.Sub(written)
 		*into = append(*into, late)
-		if part := late.Seconds() / bound.Seconds(); part > worst {
-			worst, out.latest = part, a.instance
-			out.worst = fmt.Sprintf("%s at instance %d, written at %v, in force %v later, %v in touch, bound %v",
-				a.kind, a.instance, written.Format("05.000"), a.at.Sub(written), late, bound)
+		if ratio := late.Seconds() / bound.Seconds(); ratio > worst {
+			worst, out.worstInstance = ratio, a.instance
+			out.worst = fmt.Sprintf("%s at instance %d, written at %v, in force %v later, of these %v in contact, bound %v",
+				a.kind, a.instance, written.Format("05.000"), a.appliedAt.Sub(written), late, bound)
 		}
 	}
-	for _, a := range w.inForce {
-		own := w.instances[a.instance].disturbed
-		note(&out.calm, a, slices.Concat(own, w.unstable, w.partial), w.bound)
-		if len(w.partial) > 0 {
-			note(&out.partly, a, slices.Concat(own, w.unstable), w.bound+worldPartly)
+	for _, a := range sim.arrivals {
+		own := sim.instances[a.instance].disturbed
+		note(&out.undisturbed, a, slices.Concat(own, sim.storeDisturbed, sim.storeRefusing), sim.bound)
+		if len(sim.storeRefusing) > 0 {
+			note(&out.withRefusals, a, slices.Concat(own, sim.storeDisturbed), sim.bound+simRefusalAllowance)
 		}
 	}
 	return out
 }
 
-// undone returns when each object was gone again that a change had created: who lacked it lacks
-// nothing from then on. w.mu is held.
-func (w *world) undone() map[store.Position]time.Time {
-	undone := map[store.Position]time.Time{}
-	for _, changes := range w.store.changes {
+// revertedAt returns, for each change that created an object, when the object was deleted again:
+// from then on, a copy without it lacks nothing. sim.mu must be held.
+func (sim *simulation) revertedAt() map[store.Position]time.Time {
+	reverted := map[store.Position]time.Time{}
+	for _, changes := range sim.store.changes {
 		created, exists := map[string]store.Position{}, map[string]bool{}
 		for _, change := range changes {
 			key := change.Object.Key
 			if at, fresh := created[key]; fresh && change.Deleted {
-				undone[at] = w.written[change.Object.Position]
+				reverted[at] = sim.writtenAt[change.Object.Position]
 			}
 			delete(created, key)
 			if !change.Deleted && !exists[key] {
@@ -165,56 +168,56 @@
 			exists[key] = !change.Deleted
 		}
 	}
-	return undone
+	return reverted
 }
 
-// A change is in force at all but a few of hundreds of instances, which serve a dropped route or
-// use an upstream that has left. Guards against each way in which the last instance to know knows
-// late: the store refuses those that read it first, changes are superseded before they have spread,
-// instances start, die and are cut off meanwhile.
+// Guards against a change that comes into force late at a few of hundreds of instances, which then
+// serve a dropped route or use an upstream that has left. The histories combine the causes of
+// delay: the store refuses the instances that read it first, changes are superseded before they
+// have spread, and meanwhile instances start, die and are partitioned.
 func TestDrawnHistoriesBringEachChangeInTime(t *testing.T) {
 	count, instances, from := 6, min(63, largeFleet), uint64(1)
-	if *histories > 0 {
-		count, instances, from = *histories, *size, *first
+	if *numHistories > 0 {
+		count, instances, from = *numHistories, *fleetSize, *firstSeed
 	}
-	var calm, partly []time.Duration
+	var undisturbed, withRefusals []time.Duration
 	calls := 0
 	for seed := from; seed < from+uint64(count); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				played := playHistory(t.Context(), seed, instances)
-				calm, partly = append(calm, played.calm...), append(partly, played.partly...)
-				calls += played.calls
-				if late := greatest(played.calm); late > worldBound {
-					t.Errorf("a change came into force %v late: %s", late, played.worst)
+				report := runHistory(t.Context(), seed, instances)
+				undisturbed, withRefusals = append(undisturbed, report.undisturbed...), append(withRefusals, report.withRefusals...)
+				calls += report.calls
+				if late := longest(report.undisturbed); late > simBound {
+					t.Errorf("a change came into force %v late: %s", late, report.worst)
 				}
-				if late := greatest(played.partly); late > worldBound+worldPartly {
-					t.Errorf("beside refusals a change came into force %v late: %s", late, played.worst)
+				if late := longest(report.withRefusals); late > simBound+simRefusalAllowance {
+					t.Errorf("while the store refused some instances a change came into force %v late: %s", late, report.worst)
 				}
 				if t.Failed() {
-					for _, line := range played.course {
+					for _, line := range report.worstTrace {
 						t.Log(line)
 					}
 				}
-				for _, wrong := range played.wrong[:min(3, len(played.wrong))] {
-					t.Errorf("at the end of seed %d: %s (%d in all)", seed, wrong, len(played.wrong))
+				for _, mismatch := range report.mismatches[:min(3, len(report.mismatches))] {
+					t.Errorf("at the end of seed %d: %s (%d in all)", seed, mismatch, len(report.mismatches))
 				}
 			})
 		})
 	}
 	t.Logf("%d histories of %d instances, %d calls each; while the store serves all: %s; while it refuses some: %s",
-		count, instances, calls/count, spread(calm), spread(partly))
+		count, instances, calls/count, distribution(undisturbed), distribution(withRefusals))
 }
 
-func greatest(times []time.Duration) time.Duration {
+func longest(times []time.Duration) time.Duration {
 	if len(times) == 0 {
 		return 0
 	}
 	return slices.Max(times)
 }
 
-// spread tells the distribution of some times.
-func spread(times []time.Duration) string {
+// distribution formats quantiles of times.
+func distribution(times []time.Duration) string {
 	if len(times) == 0 {
 		return "none"
 	}
--- a/pkg/follow/lost_test.go
+++ b/pkg/follow/lost_test.go
@@ -11,22 +11,21 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Figures of the stores in these tests.
+// Parameters of the stores in these tests.
 const (
 	// answerTime is how long a healthy store takes to answer, slowAnswerTime a slow one.
 	answerTime     = 4 * time.Millisecond
 	slowAnswerTime = 250 * time.Millisecond
 	// clientTimeout is how long past a watch's wait the store's client waits.
 	clientTimeout = time.Second
-	// longestStaleness is how old a copy may be while the store answers, and
-	// settleTime how long after an outage this holds again: the bounds that the
-	// users' deployments set.
-	longestStaleness = 2 * time.Second
-	settleTime       = 3 * time.Second
+	// maxStaleness is how old a copy may be while the store answers, and settleTime how long after
+	// an outage this holds again: the bounds that the users' deployments set.
+	maxStaleness = 2 * time.Second
+	settleTime   = 3 * time.Second
 )
 
-// lossyStore is a store of one kind in virtual time. While it loses answers it takes
-// every call and answers none, also later; connections stand all the while.
+// lossyStore is a store of one kind in virtual time. While it loses answers it accepts every call
+// and answers none, also later; connections stay up meanwhile.
 type lossyStore struct {
 	store.Store
 	answerTime time.Duration
@@ -36,7 +35,7 @@
 	changed    chan struct{}
 	// calls counts the watches, lists the lists.
 	calls, lists int
-	// value is that of each change.
+	// value is the value of every change.
 	value []byte
 }
 
@@ -64,10 +63,10 @@
 	return s.revision, s.changed, s.losing
 }
 
-// lost waits for an answer that does not come. It takes a plain timer: thousands of contexts
-// with timeouts in virtual time once crashed the race detector, in its record of the timers'
+// awaitLostAnswer waits until a call without an answer times out. It uses a plain timer: thousands
+// of contexts with timeouts in virtual time crashed the race detector, in its record of the timers'
 // callbacks (time.goFunc).
-func lost(ctx context.Context, wait time.Duration) error {
+func awaitLostAnswer(ctx context.Context, wait time.Duration) error {
 	pause.For(ctx, wait+clientTimeout)
 	return context.DeadlineExceeded
 }
@@ -80,7 +79,7 @@
 	time.Sleep(s.answerTime)
 	revision, _, losing := s.state()
 	if losing {
-		return store.Listing{}, lost(ctx, 0)
+		return store.Listing{}, awaitLostAnswer(ctx, 0)
 	}
 	list := store.Listing{Position: revision}
 	if store.At(1).Before(revision) { // the object that each change writes
@@ -103,7 +102,7 @@
 			return store.Changes{}, store.ErrHistoryGone
 		}
 		if swallowed || (losing && since.Before(revision)) {
-			return store.Changes{}, lost(ctx, wait)
+			return store.Changes{}, awaitLostAnswer(ctx, wait)
 		}
 		if since.Before(revision) {
 			return store.Changes{Position: revision, Changes: []store.Change{{Object: store.Object{Position: revision, Value: s.value}}}}, nil
@@ -118,39 +117,39 @@
 	}
 }
 
-// newest keeps the newest version that a copy has seen.
-type newest struct {
+// versionRecorder is a Copy that records the highest version it has received.
+type versionRecorder struct {
 	mu      sync.Mutex
 	version store.Position
 }
 
-func (n *newest) Replace(list store.Listing)  { n.reach(list.Position) }
-func (n *newest) Apply(changes store.Changes) { n.reach(changes.Position) }
+func (n *versionRecorder) Replace(list store.Listing)  { n.record(list.Position) }
+func (n *versionRecorder) Apply(changes store.Changes) { n.record(changes.Position) }
 
-func (n *newest) reach(version store.Position) {
+func (n *versionRecorder) record(version store.Position) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.version = store.Later(n.version, version)
 }
 
-func (n *newest) get() store.Position {
+func (n *versionRecorder) get() store.Position {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.version
 }
 
-// A caller is still served by a route that was dropped 2.6 s before, and work still goes
-// to an upstream that has left. The store had lost its answers for six seconds; a watch
-// sent into that time, or one that a change ended meanwhile, is never answered. Its
-// connection stands and is probed in vain, so the follower waited for it for 32 s,
-// twenty of them after the store was back. Proof: it sends no other call until then.
+// Guards against a follower that waits for a lost answer. When the store loses its answers for six
+// seconds, a watch sent during that time, or ended by a change during it, is never answered. The
+// connection stays up and keep-alive probes detect nothing, so the follower waited 32 s without
+// another call, twenty of them after the store had recovered; a caller was served by a route
+// dropped 2.6 s before, and an upstream that had left still got requests.
 func TestLostAnswerHidesNoChange(t *testing.T) {
 	cases := []struct {
 		description string
-		// before is when the last change before the outage was made; the next watch
-		// follows 0.3 s later.
+		// before is when the last change before the outage is made; the next watch follows 0.3 s
+		// later.
 		before time.Duration
-		// during is when a change is made within the outage; 0 for none.
+		// during is when a change is made during the outage; 0 for none.
 		during time.Duration
 	}{
 		{"the watch is sent into the outage", 4900 * time.Millisecond, 0},
@@ -160,8 +159,8 @@
 	for _, c := range cases {
 		t.Run(c.description, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, copied := newLossyStore(), &newest{}
-				f := &Follower{Store: s, Kind: "k", Copy: copied, Lost: func(error) {}, Found: func(bool) {}}
+				s, recorder := newLossyStore(), &versionRecorder{}
+				f := &Follower{Store: s, Kind: "k", Copy: recorder, Lost: func(error) {}, Found: func(bool) {}}
 				ctx, cancel := context.WithCancel(t.Context())
 				var running sync.WaitGroup
 				running.Go(func() { f.Run(ctx) })
@@ -176,10 +175,10 @@
 					at(c.during, s.change)
 				}
 				at(11*time.Second, func() { s.loseAnswers(false) })
-				at(11*time.Second+settleTime-longestStaleness, s.change)
+				at(11*time.Second+settleTime-maxStaleness, s.change)
 				at(11*time.Second+settleTime, func() {
-					if want, _, _ := s.state(); copied.get() != want {
-						t.Errorf("the copy is at version %d of %d, %v after the outage", copied.get(), want, settleTime)
+					if want, _, _ := s.state(); recorder.get() != want {
+						t.Errorf("the copy is at version %d of %d, %v after the outage", recorder.get(), want, settleTime)
 					}
 				})
 				cancel()
--- a/pkg/follow/outage_test.go
+++ b/pkg/follow/outage_test.go
@@ -9,61 +9,62 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// toldOutage is a confirmation that tells of an outage's end some time ago.
-func toldOutage(ago time.Duration) *followpb.Confirmation {
+// outageConfirmation returns a confirmation that reports the end of an outage some time ago.
+func outageConfirmation(ago time.Duration) *followpb.Confirmation {
 	state := &followpb.CopyState{Name: "k", LastChange: 1, SinceOutageMs: ago.Milliseconds() + 1}
 	return &followpb.Confirmation{From: "first", Copies: []*followpb.CopyState{state}}
 }
 
-// A request reaches an upstream two seconds and more after it has left: its entry was removed, which
-// instances take for a lapse in an outage that has just ended, and keep it. The outage had ended three
-// seconds before; another instance, which noticed that a little later, still told of it when this one
-// had just forgotten it, and its word was taken for another outage that ends now. Proof: an end
-// counts once, and as of when it was.
+// Guards against a request that reaches an upstream two seconds or more after it has left: its
+// removed entry was kept because it was attributed to an outage that had just ended. That outage
+// had ended three seconds before; another instance noticed the end a little later and still
+// reported it when this one had just discarded it, and the report counted as the end of another
+// outage. An end must count once, and as of its time.
 func TestEndOfAnOutageCountsOnceAndAsOfItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ends []time.Time
-		f := &Follower{Kind: "k", Copy: &newest{}, OutageEnded: func(ago time.Duration) { ends = append(ends, time.Now().Add(-ago)) }}
-		publisher := NewPublisher("p", map[string]*Follower{"k": f}, &copyMember{fleet: &fleetOfCopies{}}, TimingFor(longestStaleness))
-		f.fresh.reach(store.At(1), store.At(1))
+		f := &Follower{Kind: "k", Copy: &versionRecorder{}, OutageEnded: func(ago time.Duration) { ends = append(ends, time.Now().Add(-ago)) }}
+		publisher := NewPublisher("p", map[string]*Follower{"k": f}, &testInstance{fleet: &testFleet{}}, TimingFor(maxStaleness))
+		f.fresh.recordRead(store.At(1), store.At(1))
 		ended := time.Now()
-		f.fresh.returned(0) // noticed by itself
+		f.fresh.recordOutageEnd(0) // noticed by this instance itself
 		for range 7 {
 			time.Sleep(500 * time.Millisecond)
-			publisher.Take(toldOutage(time.Since(ended) - 400*time.Millisecond))
+			publisher.Take(outageConfirmation(time.Since(ended) - 400*time.Millisecond))
 		}
 		if len(ends) > 0 {
-			t.Errorf("an outage that ended before counts %d times more", len(ends))
+			t.Errorf("a known end of an outage counts %d more times", len(ends))
 		}
 		time.Sleep(time.Second)
 		ended = time.Now()
 		time.Sleep(700 * time.Millisecond)
-		publisher.Take(toldOutage(time.Since(ended)))
-		publisher.Take(toldOutage(time.Since(ended)))
+		publisher.Take(outageConfirmation(time.Since(ended)))
+		publisher.Take(outageConfirmation(time.Since(ended)))
 		if len(ends) != 1 || !ends[0].Truncate(time.Second/10).Equal(ended.Truncate(time.Second/10)) {
-			t.Errorf("another outage that ended at %v was told to have ended at %v", ended, ends)
+			t.Errorf("another outage that ended at %v was reported to have ended at %v", ended, ends)
 		}
 	})
 }
 
-// The same, and no outage at all: the store did not answer one instance for nine seconds, and all
-// others. When it does again, that instance, and by its word all others, take entries that are
-// removed for lapsed. Proof: while others confirm its copy the store was not away.
+// Guards against the same fault without any outage: the store did not answer one instance for nine
+// seconds but answered all others. When it answers that instance again, that instance, and through
+// its confirmations all others, attribute removed entries to an outage. While others confirm an
+// instance's copy, the store must not count as unavailable.
 func TestInstanceThatIsCutOffAloneHasNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := startFleet(t.Context(), history{size: 9, answerTime: answerTime})
+		fleet := startFleet(t.Context(), fleetOptions{size: 9, answerTime: answerTime})
 		defer fleet.end()
-		time.Sleep(silentAfter)
-		for _, alone := range []int{0, 5} { // the one that publishes, and another
-			fleet.members[alone].link.silent.Store(true)
+		time.Sleep(deathDetectionTime)
+		for _, isolated := range []int{0, 5} { // the publishing instance, and another one
+			fleet.instances[isolated].link.silent.Store(true)
 			time.Sleep(5 * time.Second)
 			fleet.store.change()
 			time.Sleep(4 * time.Second)
-			fleet.members[alone].link.silent.Store(false)
+			fleet.instances[isolated].link.silent.Store(false)
 			time.Sleep(2 * time.Second)
-			for _, m := range fleet.members {
-				if ago, recent := m.follow.fresh.sinceOutage(); recent {
-					t.Errorf("instance %d was cut off alone, and %d knows of an outage that ended %v ago", alone, m.place, ago)
+			for _, inst := range fleet.instances {
+				if ago, recent := inst.follow.fresh.timeSinceOutage(); recent {
+					t.Errorf("instance %d alone was cut off, but instance %d records an outage that ended %v ago", isolated, inst.index, ago)
 				}
 			}
 		}
@@ -71,9 +72,9 @@
 		time.Sleep(5 * time.Second)
 		fleet.store.loseAnswers(false)
 		time.Sleep(2 * time.Second)
-		for _, m := range fleet.members {
-			if _, recent := m.follow.fresh.sinceOutage(); !recent {
-				t.Errorf("instance %d does not know of an outage of all", m.place)
+		for _, inst := range fleet.instances {
+			if _, recent := inst.follow.fresh.timeSinceOutage(); !recent {
+				t.Errorf("instance %d does not record an outage of all instances", inst.index)
 			}
 		}
 	})
--- a/pkg/follow/pack.go
+++ b/pkg/follow/pack.go
@@ -11,11 +11,12 @@
 	"github.com/lavenderring/lavenderring/pkg/follow/followpb"
 )
 
-// mostUnpacked bounds a copy that another instance hands on: a kind of the store, with room.
-const mostUnpacked = 64 << 20
+// maxUnpackedBytes bounds the size of a copy received from another instance. It is well above the
+// size of any kind in the store.
+const maxUnpackedBytes = 64 << 20
 
-// pack encodes contents and compresses them: a configuration of 330 kB, which names the same
-// fields again and again, becomes a tenth of it.
+// pack encodes and compresses contents. A configuration of 330 kB, which repeats the same field
+// names, shrinks to a tenth.
 func pack(contents *followpb.Contents) ([]byte, error) {
 	encoded, err := proto.Marshal(contents)
 	if err != nil {
@@ -38,7 +39,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("unpack copy: %w", err)
 	}
-	encoded, err := io.ReadAll(io.LimitReader(reader, mostUnpacked))
+	encoded, err := io.ReadAll(io.LimitReader(reader, maxUnpackedBytes))
 	if err != nil {
 		return nil, fmt.Errorf("unpack copy: %w", err)
 	}
--- a/pkg/follow/race_off_test.go
+++ b/pkg/follow/race_off_test.go
@@ -2,5 +2,5 @@
 
 package follow
 
-// largeFleet is how many instances a large fleet has.
+// largeFleet is the number of instances in a large fleet.
 const largeFleet = 295
--- a/pkg/follow/race_on_test.go
+++ b/pkg/follow/race_on_test.go
@@ -2,6 +2,6 @@
 
 package follow
 
-// largeFleet is how many instances a large fleet has: with the race detector a tenth, since each step
-// takes some thirty times as long.
+// largeFleet is the number of instances in a large fleet: a tenth with the race detector, since
+// each step takes some thirty times as long.
 const largeFleet = 30
--- a/pkg/follow/worldstore_test.go
+++ b/pkg/follow/simstore_test.go
@@ -9,11 +9,11 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// manner is how a store treats a call.
-type manner int
+// storeBehavior is how a store treats a call.
+type storeBehavior int
 
 const (
-	storeAnswers manner = iota
+	storeAnswers storeBehavior = iota
 	storeRefuses
 	storeThrottles
 	storeResets
@@ -22,35 +22,36 @@
 	storeLossy
 )
 
-// worldStore is a store of several kinds in virtual time.
-type worldStore struct {
+// simStore is a store of several kinds in virtual time.
+type simStore struct {
 	store.Store
 	mu       sync.Mutex
 	revision store.Version
-	// floor is the version up to which changes are forgotten, deaf says that watches hear nothing.
-	floor store.Version
-	deaf  bool
-	// changes holds all changes of a kind, objects what stands.
-	changes map[string][]store.Change
-	objects map[string]map[string]store.Object
-	woken   chan struct{}
-	manner  manner
-	calls   int
-	out     queue
+	// compactedAt is the version up to which changes are discarded; watchesStalled is set while
+	// watches receive nothing.
+	compactedAt    store.Version
+	watchesStalled bool
+	// changes holds all changes of a kind, objects the current objects.
+	changes  map[string][]store.Change
+	objects  map[string]map[string]store.Object
+	woken    chan struct{}
+	behavior storeBehavior
+	calls    int
+	link     queue
 }
 
-func newWorldStore() *worldStore {
-	s := &worldStore{
+func newSimStore() *simStore {
+	s := &simStore{
 		revision: 1, changes: map[string][]store.Change{}, objects: map[string]map[string]store.Object{}, woken: make(chan struct{}),
 	}
-	for _, kind := range worldKinds {
+	for _, kind := range simKinds {
 		s.objects[kind] = map[string]store.Object{}
 	}
 	return s
 }
 
-// write changes one object, or deletes it where the value is nil, and returns the position.
-func (s *worldStore) write(kind, name string, value []byte) store.Position {
+// write changes one object, or deletes it if the value is nil, and returns the position.
+func (s *simStore) write(kind, name string, value []byte) store.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -62,50 +63,50 @@
 	} else {
 		s.objects[kind][object.Key] = object
 	}
-	if !s.deaf {
-		s.wake()
+	if !s.watchesStalled {
+		s.wakeWatches()
 	}
 	return position
 }
 
-// wake has waiting watches look again; s.mu is held.
-func (s *worldStore) wake() {
+// wakeWatches makes waiting watches check again. s.mu must be held.
+func (s *simStore) wakeWatches() {
 	close(s.woken)
 	s.woken = make(chan struct{})
 }
 
-// dropHistory makes watches deaf for a second and forgets the changes of that time.
-func (s *worldStore) dropHistory(ctx context.Context) {
+// dropHistory stalls watches for a second and discards the changes of that time.
+func (s *simStore) dropHistory(ctx context.Context) {
 	s.mu.Lock()
-	s.deaf = true
+	s.watchesStalled = true
 	s.mu.Unlock()
 	pause.For(ctx, time.Second)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf, s.floor = false, s.revision
-	s.wake()
+	s.watchesStalled, s.compactedAt = false, s.revision
+	s.wakeWatches()
 }
 
-func (s *worldStore) set(m manner) {
+func (s *simStore) setBehavior(m storeBehavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.manner = m
+	s.behavior = m
 }
 
-func (s *worldStore) called() manner {
+func (s *simStore) recordCall() storeBehavior {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	return s.manner
+	return s.behavior
 }
 
-func (s *worldStore) count() int {
+func (s *simStore) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-func (s *worldStore) list(kind string) store.Listing {
+func (s *simStore) list(kind string) store.Listing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := store.Listing{Position: store.At(s.revision)}
@@ -115,14 +116,14 @@
 	return list
 }
 
-// after returns what a watch is told now, and a channel that closes when that may differ.
-func (s *worldStore) after(kind string, since store.Version) (store.Changes, chan struct{}, error) {
+// changesAfter returns what a watch returns now, and a channel that closes when that may differ.
+func (s *simStore) changesAfter(kind string, since store.Version) (store.Changes, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.deaf {
+	if s.watchesStalled {
 		return store.Changes{Position: store.At(since)}, s.woken, nil
 	}
-	if since < s.floor {
+	if since < s.compactedAt {
 		return store.Changes{}, nil, store.ErrHistoryGone
 	}
 	changes := store.Changes{Position: store.At(s.revision)}
--- a/pkg/follow/timing.go
+++ b/pkg/follow/timing.go
@@ -5,124 +5,128 @@
 	"time"
 )
 
-// DefaultBound is the time that a change may take to be in force everywhere where settings say
-// nothing else.
+// DefaultBound is the default for the time within which a change must be in force at all instances.
 const DefaultBound = 2 * time.Second
 
-// What of a bound is not for noticing that a copy is old.
+// Parts of a bound that are not available for detecting that a copy is stale.
 const (
-	// requestTime is for a request that was given its upstream just before the change was known:
-	// it is on its way to it.
+	// requestTime covers a request that was assigned its upstream just before the change was known
+	// and is still on its way to it.
 	requestTime = 200 * time.Millisecond
-	// answerAllowance is for one call to a store that answers, over a new connection.
+	// answerAllowance covers one call, over a new connection, to a store that answers.
 	answerAllowance = 100 * time.Millisecond
-	// shortestBound is the least bound that times are made for: below it, waits are of the size
-	// of an answer, and every instance would ask the store all the time.
-	shortestBound = 500 * time.Millisecond
+	// minBound is the shortest bound for which timeouts are computed: below it, timeouts are close
+	// to the time of an answer, and every instance would call the store all the time.
+	minBound = 500 * time.Millisecond
 )
 
-// Times that do not grow with the bound any further.
+// Limits that do not grow with the bound.
 const (
-	// longestWait: a shorter one costs more calls; this one costs 1.4 a second for each kind,
-	// at one instance.
-	longestWait = 700 * time.Millisecond
-	// longestLast: with it an instance that lost its publishers in an outage is up to date
-	// within the 3 s that one may take to be over with.
-	longestLast = 2200 * time.Millisecond
-	// relaxedWait and relaxedLast are these two for copies whose bound is longer.
-	relaxedWait = 1500 * time.Millisecond
-	relaxedLast = 3 * time.Second
-	// longestBehind: handed on from one instance to some others each, a large configuration
-	// reaches 300 within half a second; what is asked of the store too soon costs a call.
-	longestBehind = 600 * time.Millisecond
-	// longestHedge is above what a slow store takes to answer.
-	longestHedge = 350 * time.Millisecond
+	// maxWatchTimeout: a shorter timeout costs more calls; this one costs 1.4 calls a second for
+	// each kind, at one instance.
+	maxWatchTimeout = 700 * time.Millisecond
+	// maxLastTimeout: with it, an instance that lost its publishers in an outage is up to date
+	// within 3 s, the time allowed for recovery.
+	maxLastTimeout = 2200 * time.Millisecond
+	// maxRelaxedWatchTimeout and maxRelaxedLastTimeout apply instead to copies with a longer bound.
+	maxRelaxedWatchTimeout = 1500 * time.Millisecond
+	maxRelaxedLastTimeout  = 3 * time.Second
+	// maxBehindTimeout: passed from each instance to several others, a large configuration reaches
+	// 300 instances within half a second; calling the store earlier than that costs a call.
+	maxBehindTimeout = 600 * time.Millisecond
+	// maxHedgeDelay is longer than a slow store takes to answer.
+	maxHedgeDelay = 350 * time.Millisecond
 )
 
-// Parts of a bound.
+// Fractions of a bound or timeout.
 const (
-	hedgePart    = 0.175 // of the bound
-	behindPart   = 0.2   // of the bound
-	reservedPart = 0.3   // of the bound, at most
-	waitPart     = 0.52  // of the last rank's timeout
-	firstPart    = 0.6   // of the time between the wait and the last rank's timeout
+	hedgeFraction    = 0.175 // of the bound
+	behindFraction   = 0.2   // of the bound
+	reservedFraction = 0.3   // of the bound, at most
+	watchFraction    = 0.52  // of the last rank's timeout
+	firstFraction    = 0.6   // of the time between the watch timeout and the last rank's timeout
 )
 
-// Timing is how long each step of keeping copies current may take. All follow from one bound: the
-// time from a change's acknowledgement by the store until no instance works by what was before.
+// Timing holds the timeouts for keeping copies current. All are derived from one bound: the time
+// from the store's acknowledgement of a change until no instance uses the previous state.
 //
-// Whoever is last to know must know within the bound less requestTime, also if no confirmation
-// reaches it and its first call to the store is lost. That is Last, Hedge and one answer; a
-// published change that nobody hands on takes a confirmation that was lost (Wait), the pause
-// before the change is published (gather), Behind, Hedge and one answer. Timeouts that are chosen
-// apart from each other add up to more than the bound in some of these cases: work then goes to an
-// upstream that has long said that it leaves.
+// The last instance to learn of a change must do so within the bound less requestTime, even if no
+// confirmation reaches it and its first call to the store is lost. That takes LastTimeout,
+// HedgeDelay and one answer. A published change that no instance supplies takes a lost confirmation
+// (WatchTimeout), the pause before the change is published (coalescePause), BehindTimeout,
+// HedgeDelay and one answer. If the timeouts were chosen independently, their sum would exceed the
+// bound in some of these cases, and requests would be sent to an upstream that announced long
+// before that it leaves.
 type Timing struct {
-	// Wait is how long a watch of an instance that publishes waits.
-	Wait time.Duration
-	// First is how long the instance of the second rank may go unconfirmed before it takes the
-	// first one's place, Last how long all ranks from publishers on may.
-	First, Last time.Duration
-	// Behind is how long a copy may lack a change that is published before the store is asked.
-	Behind time.Duration
-	// Hedge is how long a call by which a copy is renewed goes unanswered before it is made a
-	// second time beside the first, over another connection.
-	Hedge time.Duration
-	// Ask is how long before its timeout an unconfirmed instance asks others, whose copies may
-	// be confirmed: most often only a message was lost.
-	Ask time.Duration
+	// WatchTimeout is the timeout of a watch by an instance that publishes.
+	WatchTimeout time.Duration
+	// FirstTimeout is how long the instance of the second rank may go unconfirmed before it takes
+	// over from the first; LastTimeout is the corresponding time for every rank from maxPublishers
+	// on.
+	FirstTimeout, LastTimeout time.Duration
+	// BehindTimeout is how long a copy may lack a published change before the store is called.
+	BehindTimeout time.Duration
+	// HedgeDelay is how long a call that updates a copy goes unanswered before it is made a second
+	// time in parallel, over another connection.
+	HedgeDelay time.Duration
+	// QueryLead is how long before its timeout an unconfirmed instance queries others, whose copies
+	// may be confirmed: in most cases only a message was lost.
+	QueryLead time.Duration
 }
 
-// TimingFor returns the times for a bound.
-func TimingFor(bound time.Duration) Timing { return timingUpTo(bound, longestWait, longestLast) }
+// TimingFor returns the timing for a bound.
+func TimingFor(bound time.Duration) Timing { return newTiming(bound, maxWatchTimeout, maxLastTimeout) }
 
-// TimingWithin returns the times for a bound that is longer than that of other copies: as long as it
-// allows, so that the copy costs fewer calls. Last stays below the shortest time after an outage within
-// which instances must be up to date.
-func TimingWithin(bound time.Duration) Timing { return timingUpTo(bound, relaxedWait, relaxedLast) }
+// RelaxedTimingFor returns the timing for a copy whose bound is longer than that of other copies:
+// timeouts as long as the bound allows, so that the copy costs fewer calls. LastTimeout stays below
+// the shortest time after an outage within which instances must be up to date.
+func TimingWithin(bound time.Duration) Timing {
+	return newTiming(bound, maxRelaxedWatchTimeout, maxRelaxedLastTimeout)
+}
 
-func timingUpTo(bound, mostWait, mostLast time.Duration) Timing {
-	bound = max(bound, shortestBound)
+func newTiming(bound, watchLimit, lastLimit time.Duration) Timing {
+	bound = max(bound, minBound)
 	t := Timing{
-		Hedge:  min(longestHedge, part(bound, hedgePart)),
-		Behind: min(longestBehind, part(bound, behindPart)),
+		HedgeDelay:    min(maxHedgeDelay, fraction(bound, hedgeFraction)),
+		BehindTimeout: min(maxBehindTimeout, fraction(bound, behindFraction)),
 	}
-	reserved := min(requestTime+answerAllowance, part(bound, reservedPart))
-	t.Last = min(mostLast, bound-reserved-t.Hedge)
-	t.Wait = min(mostWait, part(t.Last, waitPart))
-	t.First = t.Wait + part(t.Last-t.Wait, firstPart)
-	t.Ask = (t.First - t.Wait) / 3
+	reserved := min(requestTime+answerAllowance, fraction(bound, reservedFraction))
+	t.LastTimeout = min(lastLimit, bound-reserved-t.HedgeDelay)
+	t.WatchTimeout = min(watchLimit, fraction(t.LastTimeout, watchFraction))
+	t.FirstTimeout = t.WatchTimeout + fraction(t.LastTimeout-t.WatchTimeout, firstFraction)
+	t.QueryLead = (t.FirstTimeout - t.WatchTimeout) / 3
 	return t
 }
 
-func part(of time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(of)).Round(time.Millisecond)
+func fraction(d time.Duration, ratio float64) time.Duration {
+	return time.Duration(ratio * float64(d)).Round(time.Millisecond)
 }
 
-// Timeout returns how long an instance of a rank may go unconfirmed; 0 for the first, which asks
-// the store always.
-func (t *Timing) Timeout(rank int) time.Duration {
+// ConfirmTimeout returns how long an instance of a rank may go unconfirmed; 0 for the first, which
+// always watches the store.
+func (t *Timing) ConfirmTimeout(rank int) time.Duration {
 	if rank <= 0 {
 		return 0
 	}
-	if rank >= publishers {
-		return t.Last
+	if rank >= maxPublishers {
+		return t.LastTimeout
 	}
-	// The gaps shrink: whoever takes over has to be one of the first few, unless the store refuses many.
-	return t.Last - (t.Last-t.First)/time.Duration(rank)
+	// The differences shrink with the rank: one of the first few ranks has to take over, unless the
+	// store refuses many instances.
+	return t.LastTimeout - (t.LastTimeout-t.FirstTimeout)/time.Duration(rank)
 }
 
-// beat is the pace of one instance's watches. The watches of all its copies end on it together,
-// so that one confirmation tells of all of them while each is fresh. Instances that start at once
-// have different ones: in an outage all ask the store.
-type beat struct {
-	from  time.Time
-	every time.Duration
+// watchSchedule aligns one instance's watches. The watches of all its copies end at the same times,
+// so that one confirmation covers all of them while each is fresh. The start is random, so that
+// instances which start together do not call the store together: in an outage all of them watch it.
+type watchSchedule struct {
+	start    time.Time
+	interval time.Duration
 }
 
-func newBeat(every time.Duration) beat {
-	return beat{from: time.Now().Add(-rand.N(every)), every: every}
+func newWatchSchedule(every time.Duration) watchSchedule {
+	return watchSchedule{start: time.Now().Add(-rand.N(every)), interval: every}
 }
 
 // left returns the time until the next beat.
-func (b beat) left() time.Duration { return b.every - time.Since(b.from)%b.every }
+func (s watchSchedule) untilNext() time.Duration { return s.interval - time.Since(s.start)%s.interval }
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -61,26 +61,26 @@
 try a-third-is-held pkg/prepaid/tick.go 's/heldPart = 3/heldPart = 5/' pkg/prepaid TestAccountThatLastsOutlastsACut
 try restarted-is-another pkg/placement/pool.go 's/ \|\| s\.Born != u\.Born//' pkg/placement TestRestartedUpstreamBeginsWithNothing
 try kept-views-follow-the-entries pkg/member/state.go 's/\t\tt\.views = views\{\}\n//' pkg/member TestKeptViewsAreThoseOfTheEntries
-try others-take-publishing-over pkg/follow/publisher.go 's/const publishers = 20/const publishers = 3/' pkg/follow TestStoreThatRefusesItsReadersIsReadByAnother
-try who-lacks-nothing-gets-nothing pkg/follow/handon.go 's/ && since\.Before\(upTo\)//' pkg/follow TestCopyIsHandedOnAsItCameAndToThoseThatLackIt
+try others-take-publishing-over pkg/follow/publisher.go 's/const maxPublishers = 20/const maxPublishers = 3/' pkg/follow TestStoreThatRefusesItsReadersIsReadByAnother
+try who-lacks-nothing-gets-nothing pkg/follow/copyserver.go 's/ && since\.Before\(upTo\)//' pkg/follow TestCopyIsHandedOnAsItCameAndToThoseThatLackIt
 try kept-hash-follows-the-record pkg/quarantine/table.go 's/\te\.kept = 0\n//' pkg/quarantine TestKeptHashIsThatOfTheRecord
 try who-needs-the-store-probes-it pkg/follow/publisher.go 's/if !follower\.needsStore\(\) \{/if false {/' pkg/follow TestCopyThatNeedsTheStoreProbesIt
-try lists-are-paced pkg/follow/follow.go 's/\tpause\.For\(ctx, gather\)\n\treturn nil\n\}\n\n\/\/ awaits/\treturn nil\n}\n\n\/\/ awaits/' pkg/follow TestPositionThatNeverComesCostsFewCalls
-try questions-in-vain-hold-nothing-back pkg/follow/handon.go 's/p\.once\(p\.asking, /p.once(p.catching, /' pkg/follow TestChangeIsFetchedBesideAQuestionInVain
-try one-lost-call-is-no-outage pkg/follow/gate.go 's/g\.unanswered >= awayAfter/g.unanswered > 0/' pkg/follow TestOneLostCallIsNoOutageOfTheOtherCopies
-try versions-are-read-once pkg/follow/follow.go 's/if f\.readsWhole\(\) \{/if false {/' pkg/follow TestVersionsOfACutAreNotReadByEachInstance
-try short-watches pkg/follow/timing.go 's/t\.Wait = min\(mostWait, /t.Wait = max(30*time.Second, /' pkg/follow TestLostAnswerHidesNoChange
-try times-follow-the-bound pkg/follow/timing.go 's/t\.Last = min\(mostLast, bound-reserved-t\.Hedge\)/t.Last = mostLast + 0*reserved/' pkg/follow TestLastInstanceToKnowKnowsInTime
-try each-kind-of-change-in-time pkg/follow/timing.go 's/t\.Last = min\(mostLast, bound-reserved-t\.Hedge\)/t.Last = mostLast + 0*reserved/' platform TestLastInstanceHasEachKindOfChangeInTime
-try lost-calls-are-made-again pkg/follow/hedge.go 's/timer := time\.NewTimer\(after\)/timer := time.NewTimer(time.Hour)/' pkg/follow TestLastInstanceToKnowKnowsInTime
-try unheard-ask-others pkg/follow/publisher.go 's/p\.askSome\(ctx, name\)/_ = name/' pkg/follow TestLostConfirmationsCostTheStoreNothing
+try lists-are-paced pkg/follow/follow.go 's/\tpause\.For\(ctx, coalescePause\)\n\treturn nil\n\}\n\n\/\/ awaits/\treturn nil\n}\n\n\/\/ awaits/' pkg/follow TestPositionThatNeverComesCostsFewCalls
+try questions-in-vain-hold-nothing-back pkg/follow/copyserver.go 's/p\.startOnce\(p\.querying, /p.startOnce(p.catchingUp, /' pkg/follow TestChangeIsFetchedBesideAQuestionInVain
+try one-lost-call-is-no-outage pkg/follow/circuitbreaker.go 's/b\.failures >= downAfterFailures/b.failures > 0/' pkg/follow TestOneLostCallIsNoOutageOfTheOtherCopies
+try versions-are-read-once pkg/follow/follow.go 's/if f\.prefersList\(\) \{/if false {/' pkg/follow TestVersionsOfACutAreNotReadByEachInstance
+try short-watches pkg/follow/timing.go 's/t\.WatchTimeout = min\(watchLimit, /t.WatchTimeout = max(30*time.Second, /' pkg/follow TestLostAnswerHidesNoChange
+try times-follow-the-bound pkg/follow/timing.go 's/t\.LastTimeout = min\(lastLimit, bound-reserved-t\.HedgeDelay\)/t.LastTimeout = lastLimit + 0*reserved/' pkg/follow TestLastInstanceToKnowKnowsInTime
+try each-kind-of-change-in-time pkg/follow/timing.go 's/t\.LastTimeout = min\(lastLimit, bound-reserved-t\.HedgeDelay\)/t.LastTimeout = lastLimit + 0*reserved/' platform TestLastInstanceHasEachKindOfChangeInTime
+try lost-calls-are-made-again pkg/follow/hedge.go 's/timer := time\.NewTimer\(delay\)/timer := time.NewTimer(time.Hour)/' pkg/follow TestLastInstanceToKnowKnowsInTime
+try unheard-ask-others pkg/follow/publisher.go 's/p\.querySomePeers\(ctx, name\)/_ = name/' pkg/follow TestLostConfirmationsCostTheStoreNothing
 try starting-instances-let-wait pkg/forward/starting.go 's/if left <= 0 \{/if left < time.Hour {/' pkg/forward TestRequestsWaitForTheConfigurationOfAStartingInstance
 try place-is-looked-at-again pkg/forward/attempt.go 's/if !a\.place\.InService\(\) \{/if false {/' pkg/forward TestUpstreamThatLeavesBeforeTheSendingGetsNothing
-try copies-are-guarded pkg/follow/guard.go 's/timeout := f\.confirmTimeout\(\)\n\t\treason/timeout := time.Hour\n\t\treason/' pkg/follow TestCopiesAreNeverOldOnceTheStoreAnswers
-try published-change-is-awaited pkg/follow/freshness.go 's/if !s\.since\.Before\(s\.published\) \{\n\t\treturn Unconfirmed/if true {\n\t\treturn Unconfirmed/' pkg/follow TestChangeThatNobodyHandsOnIsReadFromTheStore
+try copies-are-guarded pkg/follow/confirm.go 's/timeout := f\.confirmTimeout\(\)\n\t\treason/timeout := time.Hour\n\t\treason/' pkg/follow TestCopiesAreNeverOldOnceTheStoreAnswers
+try published-change-is-awaited pkg/follow/freshness.go 's/if !s\.position\.Before\(s\.lastPublished\) \{\n\t\treturn Unconfirmed/if true {\n\t\treturn Unconfirmed/' pkg/follow TestChangeThatNobodyHandsOnIsReadFromTheStore
 try confirmations-are-sent pkg/follow/publisher.go 's/err := p\.peers\.Confirm\(ctx, address, confirmation\)/err := error(nil)/' pkg/follow TestCallsOfACalmFleetDoNotGrowWithIt
 try older-word-changes-nothing pkg/follow/follow.go 's/if !since\.Before\(upTo\) \|\| \(/if (/' pkg/follow TestOlderWordChangesNothing
-try handing-on-is-bounded pkg/follow/handon.go 's/ && h\.spent\+size > handMost/ \&\& false/' pkg/follow TestLargeChangeIsHandedOnInTime
+try handing-on-is-bounded pkg/follow/copyserver.go 's/ && s\.servedBytes\+size > maxServedBytesPerSecond/ \&\& false/' pkg/follow TestLargeChangeIsHandedOnInTime
 try suspicion-is-refuted pkg/member/state.go 's/m\.State != memberpb\.State_ALIVE && m\.Revision >= t\.self\.Revision/false/' pkg/member TestTablesAreWholeAfterACutOfADomain
 try cut-off-accuses-nobody pkg/member/prober.go 's/case evidence\.Answered > 0 \|\| /case true || /' pkg/member TestCutOfAllMakesNobodySilent
 try drawer-is-named pkg/prepaid/named.go 's/if name == "" \|\| name == n\.Name \{/if true {/' pkg/prepaid TestOneDomainStepsInForAll
@@ -100,13 +100,13 @@
 try leaving-stays-leaving pkg/registry/registry.go 's/u = r\.doubt\(u\)/_ = r.doubt/' pkg/registry TestLeavingStaysLeavingWhenTheStoreGoesBack
 try later-eras-are-later pkg/store/position.go 's/if p\.Era != other\.Era \{/if false {/' pkg/follow TestCopiesFollowTheStoreIntoALaterEra
 try later-era-is-no-answer platform/store.go 's/if era != since\.Era \{/if false {/' platform TestAnswersOfALaterEraAreNoAnswers
-try higher-number-is-handed-on pkg/follow/contents.go 's/c\.kept\[now\.Key\] = true\n\tnow\.Value = before\.Value/_ = before/' pkg/follow TestDocumentOfAHigherNumberIsHandedOn
+try higher-number-is-handed-on pkg/follow/contents.go 's/c\.retained\[now\.Key\] = true\n\tnow\.Value = before\.Value/_ = before/' pkg/follow TestDocumentOfAHigherNumberIsHandedOn
 try claims-are-brought-back pkg/claim/recovery.go 's/\t\t\ts\.Claims\[key\] = claim/\t\t\t_ = claim/' pkg/claim TestAtMostOneRequestOfAKeyRunsWhenTheStoreGoesBack
 try unsettled-keys-are-not-free pkg/claim/claimer.go 's/if s\.Unsettled && s\.Claims\[key\] == nil \{\n\t\t\treplace/if false {\n\t\t\treplace/' pkg/claim TestAtMostOneRequestOfAKeyRunsWhenTheStoreGoesBack
 try own-full-link-is-noticed pkg/overload/limit.go 's/\tcase slow:/\tcase slow \&\& false:/' pkg/overload TestOverloadedInstanceServesWhatItsLinkCarries
 try told-meanwhile-is-kept pkg/prepaid/recovery.go 's/told\.serial <= r\.mergedTo/told.serial >= 0/' pkg/prepaid TestWhatIsToldDuringAWriteIsNotLost
-try an-end-counts-once pkg/follow/freshness.go 's/at\.Sub\(s\.returnedAt\) < sameOutage/at.Before(s.returnedAt)/' pkg/follow TestEndOfAnOutageCountsOnceAndAsOfItsTime
-try cut-off-alone-is-no-outage pkg/follow/follow.go 's/outage := !f\.ConfirmedLately\(\)/outage := true/' pkg/follow TestInstanceThatIsCutOffAloneHasNoOutage
+try an-end-counts-once pkg/follow/freshness.go 's/at\.Sub\(s\.outageEndedAt\) < sameOutageTolerance/at.Before(s.outageEndedAt)/' pkg/follow TestEndOfAnOutageCountsOnceAndAsOfItsTime
+try cut-off-alone-is-no-outage pkg/follow/follow.go 's/outage := !f\.Confirmed\w+\(\)/outage := true/' pkg/follow TestInstanceThatIsCutOffAloneHasNoOutage
 try documents-are-watched-shortly pkg/configsync/syncer.go 's/watchWait = 2 \* time/watchWait = 20 * time/' pkg/configsync TestLostWatchHidesNoDocument
 try faulty-entry-is-out platform/copies.go 's/c\.Registry\.Discard\(id\)\n\t\treturn/return/' platform TestFaultyEntriesAreToldOnceAndTheOthersHold
 q=pkg/quarantine
@@ -130,7 +130,7 @@
 try orderly-ends-are-no-crashes $q/undecided.go 's/key\.Incarnation == incarnation && e\.At\.Before\(at\)/key.Incarnation == incarnation/' $q TestEndingAfterTheEntryWentIsNoCrash
 try leaving-is-no-crash pkg/registry/occupant.go 's/!before\.Leaving/true/' pkg/registry TestSupersededIncarnationsAreTold
 try accounts-share-repeats pkg/retrylimit/limit.go 's/used > 0 && float64/false && float64/' pkg/retrylimit TestOneAccountDoesNotTakeAllRepeats
-try lost-confirmations-are-sent-again pkg/follow/publisher.go 's/err != nil && news/err != nil && news && began.IsZero()/' pkg/follow TestChangeWhoseConfirmationIsLostIsToldAgain
+try lost-confirmations-are-sent-again pkg/follow/publisher.go 's/err != nil && hasChange/err != nil && hasChange && began.IsZero()/' pkg/follow TestChangeWhoseConfirmationIsLostIsToldAgain
 try passed-over-writes-pause pkg/prepaid/write.go 's/errors\.Is\(f\.err, errUnsettledYet\)/errors.Is(f.err, ErrUnsettled)/' pkg/prepaid TestLedgerOfAnEraTakenForOverIsNotWrittenWithoutAPause
 try emptied-domains-are-out pkg/registry/registry.go 's/ && !r\.emptied\.domains\[u\.Domain\]//' test TestEmptiedDomainGetsNothing
 try own-door-knows-emptied-domains pkg/dispatch/picker.go 's/ \|\| p\.emptied\[upstream\.Domain\]//' test TestOwnDoorSendsNothingToAnEmptiedDomain
