--- a/pkg/budget/bench_test.go
+++ b/pkg/budget/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/lavenderring/lavenderring/pkg/budget/budgetpb"
 )
 
-// benchBudgets is the number of budgets that the capacity page asks for.
+// benchBudgets is the number of budgets in the documented capacity target.
 const benchBudgets = 53_000
 
 func benchSpender(budgets int) (*Spender, []string) {
@@ -26,13 +26,14 @@
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		if !s.TryReserve(ids[n%benchBudgets], 100, &r) {
-			b.Fatal("no tokens")
+			b.Fatalf("budget %s has too few tokens", ids[n%benchBudgets])
 		}
 		s.Settle(&r, 60)
 	}
 }
 
-// BenchmarkBareMap is what the ratio is taken to: two updates of a plain map.
+// BenchmarkBareMap is the baseline for BenchmarkReserveSettle: two updates of a
+// plain map.
 func BenchmarkBareMap(b *testing.B) {
 	ids := make([]string, benchBudgets)
 	m := map[string]int64{}
@@ -47,18 +48,18 @@
 	}
 }
 
-// Reserve and settle must not allocate: at the peak each node does it for every
-// request, and garbage would cost more than the decision.
+// Reserving and settling must not allocate memory: at peak load each instance does
+// both for every request, and garbage collection would cost more than the decision.
 func TestReserveAndSettleDoNotAllocate(t *testing.T) {
 	s, ids := benchSpender(100)
 	var r Reservation
 	n := 0
-	allocations := testing.AllocsPerRun(1000, func() {
+	allocsPerRequest := testing.AllocsPerRun(1000, func() {
 		s.TryReserve(ids[n%100], 100, &r)
 		s.Settle(&r, 60)
 		n++
 	})
-	if allocations != 0 {
-		t.Errorf("%v allocations for each request", allocations)
+	if allocsPerRequest != 0 {
+		t.Errorf("%v memory allocations per request, want 0", allocsPerRequest)
 	}
 }
--- a/pkg/budget/collector.go
+++ b/pkg/budget/collector.go
@@ -8,19 +8,20 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// maxSettledRemembered bounds the ids of settled grants kept to answer late
-// reports; a report for a forgotten one is answered from the ledger.
+// maxSettledRemembered bounds the ids of settled grants that are kept to answer
+// late reports. A report about a dropped id is answered as unknown, and the
+// spender then settles with the ledger directly.
 const maxSettledRemembered = 4096
 
-// closedGrant gathers what spenders tell of a grant that is closed.
+// closedGrant holds what spenders have reported about a closed grant.
 type closedGrant struct {
 	id, budget string
-	evidence   map[string]ledger.Usage
+	usages     map[string]ledger.Usage
 	dirty      bool
 }
 
-// Collector takes reports for closed grants and brings them to the ledger in
-// batches, one write for each shard.
+// Collector collects reports about closed grants. They are written to the ledger
+// in batches, with one write for each shard.
 type Collector struct {
 	mu      sync.Mutex
 	grants  map[string]*closedGrant
@@ -32,33 +33,34 @@
 	return &Collector{grants: map[string]*closedGrant{}, settled: map[string]bool{}}
 }
 
-// add takes a grant over with the evidence known so far.
-func (c *Collector) add(id, budget string, evidence map[string]ledger.Usage) {
+// addGrant adds a closed grant with the usages known so far.
+func (c *Collector) addGrant(id, budget string, usages map[string]ledger.Usage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := c.grants[id]
 	if g == nil {
-		g = &closedGrant{id: id, budget: budget, evidence: map[string]ledger.Usage{}}
+		g = &closedGrant{id: id, budget: budget, usages: map[string]ledger.Usage{}}
 		c.grants[id] = g
 	}
-	for spender, e := range evidence {
-		g.evidence[spender] = g.evidence[spender].Merge(e)
+	for spender, usage := range usages {
+		g.usages[spender] = g.usages[spender].Merge(usage)
 	}
 	g.dirty = true
 }
 
-// collectResult sorts reported usages by what becomes of them.
-type collectResult struct {
-	settled []string
-	unknown []string
-	taken   []*budgetpb.Usage
+// reportResult divides reported usages into those of settled grants, those of
+// unknown grants and those that were accepted.
+type reportResult struct {
+	settled  []string
+	unknown  []string
+	accepted []*budgetpb.Usage
 }
 
-// report takes usages of closed grants.
-func (c *Collector) report(usages []*budgetpb.Usage) collectResult {
+// report merges usages of closed grants.
+func (c *Collector) report(usages []*budgetpb.Usage) reportResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var result collectResult
+	var result reportResult
 	for _, u := range usages {
 		if c.settled[u.Grant] {
 			result.settled = append(result.settled, u.Grant)
@@ -69,14 +71,15 @@
 			result.unknown = append(result.unknown, u.Grant)
 			continue
 		}
-		mergeEvidence(g.evidence, u)
+		mergeUsage(g.usages, u)
 		g.dirty = true
-		result.taken = append(result.taken, u)
+		result.accepted = append(result.accepted, u)
 	}
 	return result
 }
 
-// pending returns, by shard, copies of the grants with news for the ledger.
+// pending returns, by shard, copies of the grants with usages that are not in the
+// ledger yet.
 func (c *Collector) pending(shards int) map[int][]closedGrant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,16 +89,16 @@
 		if !g.dirty {
 			continue
 		}
-		copied := closedGrant{id: g.id, budget: g.budget, evidence: maps.Clone(g.evidence)}
+		copied := closedGrant{id: g.id, budget: g.budget, usages: maps.Clone(g.usages)}
 		shard := ledger.ShardOf(g.budget, shards)
 		out[shard] = append(out[shard], copied)
 	}
 	return out
 }
 
-// written notes that the evidence has reached the ledger, and whether the
-// grant is settled there.
-func (c *Collector) written(sent closedGrant, settled bool) {
+// markWritten records that a grant's usages were written to the ledger, and
+// whether the grant is settled there.
+func (c *Collector) markWritten(sent closedGrant, settled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := c.grants[sent.id]
@@ -103,18 +106,18 @@
 		return
 	}
 	if settled {
-		c.remember(sent.id)
+		c.markSettled(sent.id)
 		return
 	}
 	g.dirty = false
-	for spender, e := range g.evidence {
-		if sent.evidence[spender] != e {
+	for spender, usage := range g.usages {
+		if sent.usages[spender] != usage {
 			g.dirty = true
 		}
 	}
 }
 
-func (c *Collector) remember(id string) {
+func (c *Collector) markSettled(id string) {
 	delete(c.grants, id)
 	if len(c.settled) >= maxSettledRemembered {
 		c.settled = map[string]bool{}
--- a/pkg/budget/grant.go
+++ b/pkg/budget/grant.go
@@ -5,86 +5,89 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// account is what a holder knows of one spender's lot. All counters only grow.
-type account struct {
+// spenderState is what a holder knows of one spender's lot. All counters only
+// increase.
+type spenderState struct {
 	seq       uint64
 	allocated int64
 	used      int64
 	returned  int64
 }
 
-// grant is a block of tokens this instance has drawn. Invariants:
-// allocated ≤ signed, and signed ≤ drawn + returned; so what spenders hold is
-// never more than what was drawn, and the witness knows a bound on it.
+// grant is a block of tokens that this instance has drawn. Invariants:
+// allocated ≤ signed ≤ drawn + returned. So spenders never hold more tokens than
+// were drawn, and the witness knows an upper bound on what was allocated.
 type grant struct {
 	id, budget, witness string
-	fresh               bool // not seen in the ledger yet
+	unconfirmed         bool // no write has yet found or created it in the ledger
 	drawn               int64
 	signed              int64
 	allocated           int64 // sum over spenders, cumulative
 	used                int64
 	returned            int64
-	accounts            map[string]*account
-	folded              int64 // used as last written to the ledger
-	// offered is how much of drawn was set aside to be given back by a write
-	// that has not been settled. It is not in drawn meanwhile.
-	offered      int64
-	wanted       int64 // what others lacked when the ledger was last read
-	unsentUsages map[string]bool
-	renaming     bool // another witness is being named; see beginRename
-	demand       int64
-	perSecond    float64
+	spenders            map[string]*spenderState
+	recordedUsed        int64 // used as last written to the ledger
+	// pendingReturn is the number of tokens set aside to be returned to the ledger
+	// by a write whose outcome is not settled. drawn does not include them.
+	pendingReturn    int64
+	shortage         int64 // the budget's shortage when the ledger was last read
+	unsentUsages     map[string]bool
+	replacingWitness bool // another witness is being named; see nameWitnessUpdate
+	demand           int64
+	demandRate       float64
 }
 
-// allocatable returns the signed tokens that have not been allocated.
+// allocatable returns the number of signed tokens that have not been allocated.
 func (g *grant) allocatable() int64 { return g.signed - g.allocated }
 
-// unsigned returns the drawn tokens that have not been signed.
+// unsigned returns the number of drawn tokens that have not been signed.
 func (g *grant) unsigned() int64 { return g.drawn + g.returned - g.signed }
 
-// rest returns every token still to be allocated.
-func (g *grant) rest() int64 { return g.allocatable() + g.unsigned() }
+// unallocated returns the number of tokens, signed or not, that have not been
+// allocated.
+func (g *grant) unallocated() int64 { return g.allocatable() + g.unsigned() }
 
-func (g *grant) evidence() map[string]ledger.Usage {
-	out := make(map[string]ledger.Usage, len(g.accounts))
-	for spender, a := range g.accounts {
-		out[spender] = ledger.Usage{Used: a.used, Returned: a.returned}
+func (g *grant) usages() map[string]ledger.Usage {
+	usages := make(map[string]ledger.Usage, len(g.spenders))
+	for spender, s := range g.spenders {
+		usages[spender] = ledger.Usage{Used: s.used, Returned: s.returned}
 	}
-	return out
+	return usages
 }
 
-// take merges a spender's report. Counters only grow.
-func (g *grant) take(u *budgetpb.Usage) {
-	a := g.accounts[u.Spender]
-	if a == nil {
-		return // nothing was allocated to it from this grant
+// mergeUsage merges a spender's report. Counters only increase.
+func (g *grant) mergeUsage(u *budgetpb.Usage) {
+	s := g.spenders[u.Spender]
+	if s == nil {
+		return // nothing was allocated to this spender from this grant
 	}
-	if u.Used <= a.used && u.Returned <= a.returned {
+	if u.Used <= s.used && u.Returned <= s.returned {
 		return
 	}
-	g.used += max(u.Used-a.used, 0)
-	g.returned += max(u.Returned-a.returned, 0)
-	a.used = max(a.used, u.Used)
-	a.returned = max(a.returned, u.Returned)
+	g.used += max(u.Used-s.used, 0)
+	g.returned += max(u.Returned-s.returned, 0)
+	s.used = max(s.used, u.Used)
+	s.returned = max(s.returned, u.Returned)
 	g.unsentUsages[u.Spender] = true
 }
 
-// share decides how much of a request is given. Beyond the need at most a
-// quarter of what is left goes out, so that the last tokens stay in one place
-// instead of being scattered over spenders that do not need them.
-func (g *grant) share(need, ahead int64) int64 {
-	const scatterBound = 4
-	avail := g.allocatable()
-	extra := min(ahead, (g.rest()-need)/scatterBound)
-	return max(min(need+max(extra, 0), avail), 0)
+// allocationFor returns how many tokens to allocate for a request. Beyond the
+// need it allocates at most a quarter of what is left, so that the last tokens
+// stay with the holder instead of being scattered over spenders that do not need
+// them.
+func (g *grant) allocationFor(need, ahead int64) int64 {
+	const extraDivisor = 4
+	available := g.allocatable()
+	extra := min(ahead, (g.unallocated()-need)/extraDivisor)
+	return max(min(need+max(extra, 0), available), 0)
 }
 
-func (g *grant) lot(a *account) *budgetpb.Lot {
+func (g *grant) lotFor(s *spenderState) *budgetpb.Lot {
 	return &budgetpb.Lot{
 		Grant:     g.id,
 		Holder:    g.holder(),
 		Witness:   g.witness,
-		Allocated: a.allocated,
+		Allocated: s.allocated,
 	}
 }
 
--- a/pkg/budget/holder.go
+++ b/pkg/budget/holder.go
@@ -7,41 +7,42 @@
 	"github.com/lavenderring/lavenderring/pkg/budget/budgetpb"
 )
 
-// budgetHeld is what a holder has of one budget: at most one open grant.
-type budgetHeld struct {
-	open   *grant
-	refill sync.Mutex // one refill at a time for a budget
+// heldBudget is what a holder has of one budget: at most one open grant.
+type heldBudget struct {
+	openGrant *grant
+	refillMu  sync.Mutex // allows one refill of the budget at a time
 }
 
-// Holder draws grants and allocates from them. It is safe for concurrent use.
+// Holder keeps the grants that this instance has drawn and allocates from them.
+// It is safe for concurrent use.
 type Holder struct {
 	cfg Config
 
-	mu      sync.Mutex
-	budgets map[string]*budgetHeld
-	byGrant map[string]*grant
-	counter uint64
+	mu              sync.Mutex
+	budgets         map[string]*heldBudget
+	grants          map[string]*grant
+	lastGrantNumber uint64
 }
 
 // NewHolder returns a holder without grants.
 func NewHolder(cfg Config) *Holder {
-	return &Holder{cfg: cfg, budgets: map[string]*budgetHeld{}, byGrant: map[string]*grant{}}
+	return &Holder{cfg: cfg, budgets: map[string]*heldBudget{}, grants: map[string]*grant{}}
 }
 
-func (h *Holder) held(budget string) *budgetHeld {
+func (h *Holder) budget(budget string) *heldBudget {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b := h.budgets[budget]
 	if b == nil {
-		b = &budgetHeld{}
+		b = &heldBudget{}
 		h.budgets[budget] = b
 	}
 	return b
 }
 
-// allocate gives a spender tokens that are signed already. It never gives less
-// than was asked for as need if it can, and nothing twice for one seq: after a
-// lost answer the same request finds its lots unchanged.
+// allocate allocates signed tokens to a spender: the whole need, if that many are
+// allocatable, and some of what the spender wants ahead. It allocates only once
+// for each seq, so a request repeated after a lost answer returns the same lots.
 func (h *Holder) allocate(req *budgetpb.AllocateRequest) *budgetpb.AllocateReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,40 +50,41 @@
 	if g == nil {
 		return &budgetpb.AllocateReply{}
 	}
-	a := g.accounts[req.Spender]
-	if a == nil {
-		a = &account{}
-		g.accounts[req.Spender] = a
+	s := g.spenders[req.Spender]
+	if s == nil {
+		s = &spenderState{}
+		g.spenders[req.Spender] = s
 	}
-	if req.Seq > a.seq {
-		a.seq = req.Seq
-		give := g.share(req.Need, req.Ahead)
-		a.allocated += give
-		g.allocated += give
-		g.demand += max(give, req.Need)
+	if req.Seq > s.seq {
+		s.seq = req.Seq
+		granted := g.allocationFor(req.Need, req.Ahead)
+		s.allocated += granted
+		g.allocated += granted
+		g.demand += max(granted, req.Need)
 	}
-	return &budgetpb.AllocateReply{Lots: []*budgetpb.Lot{g.lot(a)}}
+	return &budgetpb.AllocateReply{Lots: []*budgetpb.Lot{g.lotFor(s)}}
 }
 
 func (h *Holder) openGrant(budget string) *grant {
 	if b := h.budgets[budget]; b != nil {
-		return b.open
+		return b.openGrant
 	}
 	return nil
 }
 
-// openOf returns a budget's open grant, if the ledger has it, and its witness;
-// nil otherwise.
-func (h *Holder) openOf(budget string) (*grant, string) {
+// confirmedGrant returns a budget's open grant and its witness, or nil if there
+// is none or it is not confirmed to be in the ledger.
+func (h *Holder) confirmedGrant(budget string) (*grant, string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if g := h.openGrant(budget); g != nil && !g.fresh {
+	if g := h.openGrant(budget); g != nil && !g.unconfirmed {
 		return g, g.witness
 	}
 	return nil, ""
 }
 
-// allocatable returns the tokens of a budget that can be allocated at once.
+// allocatable returns the number of tokens of a budget that can be allocated
+// without another signature.
 func (h *Holder) allocatable(budget string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,39 +94,41 @@
 	return 0
 }
 
-// unsignedRest returns the drawn tokens of a budget that need a signature.
-func (h *Holder) unsignedRest(budget string) int64 {
+// unsigned returns the number of drawn tokens of a budget that need a signature
+// before they can be allocated.
+func (h *Holder) unsigned(budget string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if g := h.openGrant(budget); g != nil && !g.fresh {
+	if g := h.openGrant(budget); g != nil && !g.unconfirmed {
 		return g.unsigned()
 	}
 	return 0
 }
 
-// report merges a spender's usages. It returns the lots as the holder knows
+// mergeReport merges a spender's usages. It returns the lots as the holder knows
 // them and the usages of grants that are not open here.
-func (h *Holder) report(spender string, usages []*budgetpb.Usage) ([]*budgetpb.Lot, []*budgetpb.Usage) {
+func (h *Holder) mergeReport(spender string, usages []*budgetpb.Usage) ([]*budgetpb.Lot, []*budgetpb.Usage) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var lots []*budgetpb.Lot
-	var elsewhere []*budgetpb.Usage
+	var notOpen []*budgetpb.Usage
 	for _, u := range usages {
-		g := h.byGrant[u.Grant]
+		g := h.grants[u.Grant]
 		if g == nil {
-			elsewhere = append(elsewhere, u)
+			notOpen = append(notOpen, u)
 			continue
 		}
-		g.take(u)
-		if a := g.accounts[spender]; a != nil {
-			lots = append(lots, g.lot(a))
+		g.mergeUsage(u)
+		if s := g.spenders[spender]; s != nil {
+			lots = append(lots, g.lotFor(s))
 		}
 	}
-	return lots, elsewhere
+	return lots, notOpen
 }
 
-// borrowers returns the spenders other than self that hold tokens of a budget.
-func (h *Holder) borrowers(budget, except string) []string {
+// spendersWithTokens returns the spenders other than except that hold tokens of a
+// budget.
+func (h *Holder) spendersWithTokens(budget, except string) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	g := h.openGrant(budget)
@@ -132,57 +136,59 @@
 		return nil
 	}
 	var out []string
-	for _, spender := range sortedKeys(g.accounts) {
-		a := g.accounts[spender]
-		if spender != except && a.allocated > a.used+a.returned {
+	for _, spender := range sortedKeys(g.spenders) {
+		s := g.spenders[spender]
+		if spender != except && s.allocated > s.used+s.returned {
 			out = append(out, spender)
 		}
 	}
 	return out
 }
 
-// signRequest returns what a witness is asked to sign for a budget so that need
-// more tokens can be allocated; nil if there is nothing to sign.
+// signRequest returns a budget's witness and the state that it has to sign so
+// that need tokens can be allocated. The state is nil if there is nothing to
+// sign.
 func (h *Holder) signRequest(budget string, need int64) (string, *budgetpb.GrantState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	g := h.openGrant(budget)
-	if g == nil || g.fresh {
+	if g == nil || g.unconfirmed {
 		return "", nil
 	}
-	return g.witness, h.signState(g, need)
+	return g.witness, h.signingState(g, need)
 }
 
-func (h *Holder) signState(g *grant, need int64) *budgetpb.GrantState {
-	want := max(need, int64(g.perSecond*h.cfg.SignedAhead.Seconds()), h.cfg.MinimumSigned)
-	upTo := min(g.allocated+want, g.drawn+g.returned)
+func (h *Holder) signingState(g *grant, need int64) *budgetpb.GrantState {
+	target := max(need, int64(g.demandRate*h.cfg.SignAhead.Seconds()), h.cfg.MinimumSigned)
+	upTo := min(g.allocated+target, g.drawn+g.returned)
 	if upTo <= g.signed && len(g.unsentUsages) == 0 {
 		return nil
 	}
 	state := &budgetpb.GrantState{Grant: g.id, Budget: g.budget, UpTo: max(upTo, g.signed)}
 	for _, spender := range sortedKeys(g.unsentUsages) {
-		a := g.accounts[spender]
+		s := g.spenders[spender]
 		state.Usages = append(state.Usages, &budgetpb.Usage{
 			Spender:  spender,
 			Grant:    g.id,
 			Budget:   g.budget,
-			Used:     a.used,
-			Returned: a.returned,
+			Used:     s.used,
+			Returned: s.returned,
 		})
 	}
 	return state
 }
 
-// signed merges a witness's answer and returns the grants it refused, which
-// are closed. Signatures only grow.
-func (h *Holder) signed(witness string, sent []*budgetpb.GrantState, got []*budgetpb.Signature) []*grant {
+// mergeSignatures merges a witness's answer and returns the grants for which the
+// witness refused to sign because it has closed them. The signed total only
+// increases.
+func (h *Holder) mergeSignatures(witness string, sent []*budgetpb.GrantState, signatures []*budgetpb.Signature) []*grant {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var refused []*grant
-	for _, signature := range got {
-		g := h.byGrant[signature.Grant]
-		if g == nil || g.witness != witness || g.renaming {
-			continue // the witness is being replaced; its signature is void
+	for _, signature := range signatures {
+		g := h.grants[signature.Grant]
+		if g == nil || g.witness != witness || g.replacingWitness {
+			continue // the witness is being replaced: its signature no longer counts
 		}
 		if signature.Refused {
 			refused = append(refused, g)
@@ -191,76 +197,77 @@
 		g.signed = max(g.signed, min(signature.Signed, g.drawn+g.returned))
 	}
 	for _, state := range sent {
-		h.clearSent(state, witness)
+		h.clearSentUsages(state, witness)
 	}
 	return refused
 }
 
-func (h *Holder) clearSent(state *budgetpb.GrantState, witness string) {
-	g := h.byGrant[state.Grant]
+func (h *Holder) clearSentUsages(state *budgetpb.GrantState, witness string) {
+	g := h.grants[state.Grant]
 	if g == nil || g.witness != witness {
 		return
 	}
 	for _, u := range state.Usages {
-		a := g.accounts[u.Spender]
-		if a != nil && a.used == u.Used && a.returned == u.Returned {
+		s := g.spenders[u.Spender]
+		if s != nil && s.used == u.Used && s.returned == u.Returned {
 			delete(g.unsentUsages, u.Spender)
 		}
 	}
 }
 
-// selfSign signs for grants that have no witness, since nobody else is there to
-// countersign. It signs no more than a witness is asked to: what is signed can
-// not be given back to the ledger.
+// selfSign signs a budget's grant if it has no witness, because no other instance
+// is available to countersign. It signs no more than a witness would be asked to:
+// signed tokens are not freed when a witness that is named later reclaims the
+// grant.
 func (h *Holder) selfSign(budget string, need int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	g := h.openGrant(budget)
-	if g == nil || g.witness != "" || g.fresh || g.renaming {
+	if g == nil || g.witness != "" || g.unconfirmed || g.replacingWitness {
 		return
 	}
-	if state := h.signState(g, need); state != nil {
+	if state := h.signingState(g, need); state != nil {
 		g.signed = max(g.signed, state.UpTo)
 	}
 	g.unsentUsages = map[string]bool{}
 }
 
-// newGrantID returns an id that was never used: ids carry the incarnation.
+// newGrantID returns a unique id, made of the incarnation and a counter.
 func (h *Holder) newGrantID() string {
-	h.counter++
-	return fmt.Sprintf("%s#%d", h.cfg.Self, h.counter)
+	h.lastGrantNumber++
+	return fmt.Sprintf("%s#%d", h.cfg.Self, h.lastGrantNumber)
 }
 
-// surrender removes a grant from use and returns it; nil if it is gone already.
-func (h *Holder) surrender(grantID string) *grant {
+// removeGrant removes an open grant and returns it; nil if it was removed before.
+func (h *Holder) removeGrant(grantID string) *grant {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g := h.byGrant[grantID]
+	g := h.grants[grantID]
 	if g == nil {
 		return nil
 	}
-	delete(h.byGrant, grantID)
-	if b := h.budgets[g.budget]; b != nil && b.open == g {
-		b.open = nil
+	delete(h.grants, grantID)
+	if b := h.budgets[g.budget]; b != nil && b.openGrant == g {
+		b.openGrant = nil
 	}
 	return g
 }
 
-// find returns an open grant, or nil.
-func (h *Holder) find(id string) *grant {
+// openGrantByID returns an open grant, or nil.
+func (h *Holder) openGrantByID(id string) *grant {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.byGrant[id]
+	return h.grants[id]
 }
 
-// open returns the ids of all open grants.
-func (h *Holder) open() []string {
+// openGrantIDs returns the ids of all open grants.
+func (h *Holder) openGrantIDs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return sortedKeys(h.byGrant)
+	return sortedKeys(h.grants)
 }
 
-// GrantView is a holder's grant as shown to operators. Numbers are tokens.
+// GrantView is a holder's grant as shown to operators. Numbers are in tokens.
 type GrantView struct {
 	Grant, Budget, Witness                   string
 	Drawn, Signed, Allocated, Used, Returned int64
@@ -270,8 +277,8 @@
 func (h *Holder) View() []GrantView {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	views := make([]GrantView, 0, len(h.byGrant))
-	for _, g := range h.byGrant {
+	views := make([]GrantView, 0, len(h.grants))
+	for _, g := range h.grants {
 		views = append(views, GrantView{
 			Grant: g.id, Budget: g.budget, Witness: g.witness,
 			Drawn: g.drawn, Signed: g.signed, Allocated: g.allocated, Used: g.used, Returned: g.returned,
--- a/pkg/budget/interfaces.go
+++ b/pkg/budget/interfaces.go
@@ -1,13 +1,13 @@
-// Package budget decides who may spend which prepaid tokens. It knows no
-// sockets and no clocks.
+// Package budget decides which instance may spend which prepaid tokens. It uses
+// no sockets, and reads the time only through Deps.Now.
 //
-// Tokens move in one direction through three roles, each a file here. A holder
-// draws a grant from the ledger by one conditional write. It allocates parts of
-// the grant, lots, to spenders, the instances that callers reach. A witness in
-// another failure domain countersigns how much a holder may have allocated, so
-// that the rest can be reclaimed if the holder dies. Every counter is
-// cumulative; no message can do harm by coming late or twice, and nothing here
-// is safe only for as long as a clock is right.
+// Tokens pass through three roles, each in a file of its own. A holder draws a
+// grant from the ledger by one conditional write. It allocates parts of the
+// grant, called lots, to spenders, the instances that receive requests. A witness
+// in another failure domain countersigns how much a holder may have allocated,
+// so that the rest can be reclaimed if the holder crashes. Every counter is
+// cumulative, so late or duplicate messages have no effect, and no safety
+// property depends on a correct clock.
 package budget
 
 import (
@@ -18,13 +18,14 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// Ledger changes one shard by one conditional write, or none if the change
-// function leaves the shard as it is. The function may be called several times.
+// Ledger changes one shard by one conditional write, or writes nothing if the
+// change function leaves the shard as it is. The function may be called several
+// times.
 type Ledger interface {
 	Update(ctx context.Context, shard int, change func(*ledger.Shard)) error
 }
 
-// Peers carries messages to other instances, named by incarnation.
+// Peers sends requests to other instances, which are named by incarnation.
 type Peers interface {
 	Allocate(ctx context.Context, to string, req *budgetpb.AllocateRequest) (*budgetpb.AllocateReply, error)
 	Recall(ctx context.Context, to string, req *budgetpb.RecallRequest) (*budgetpb.RecallReply, error)
@@ -32,29 +33,33 @@
 	Sign(ctx context.Context, to string, req *budgetpb.SignRequest) (*budgetpb.SignReply, error)
 }
 
-// Fleet tells who is there. Nothing depends on its being right.
+// Fleet is the view of the other instances. It may be wrong without making any
+// budget overspend.
 type Fleet interface {
 	// Holders returns the incarnations to ask for a shard's budgets, nearest first.
 	Holders(shard int) []string
-	// Witness returns whom this instance should have countersign its grants,
-	// other than one that has just failed; empty if nobody else is known.
+	// Witness returns the incarnation that should countersign this instance's
+	// grants, other than except, which has just failed; empty if no other is
+	// known.
 	Witness(except string) string
-	// Silent reports whether an incarnation has not been heard of for the bound.
+	// Silent reports whether no sign of life of an incarnation has arrived for
+	// longer than the silence timeout.
 	Silent(incarnation string) bool
 }
 
-// Prepaid returns, for one shard, what each service's document in force says
-// its budgets prepaid.
+// Prepaid returns, for one shard, the prepaid amounts in each service's document
+// in force.
 type Prepaid func(shard int) []ServicePrepaid
 
-// ServicePrepaid is one service's prepaid amounts within one shard.
+// ServicePrepaid holds one service's prepaid amounts, by budget, within one
+// shard.
 type ServicePrepaid struct {
 	Service    string
 	Generation uint64
 	Amounts    map[string]int64
 }
 
-// Observer is told what the slice decides, for the event log.
+// Observer receives the package's decisions, for the event log.
 type Observer interface {
 	GrantDrawn(budget, grant string, drawn int64)
 	GrantLost(budget, grant string)
@@ -64,60 +69,62 @@
 	BudgetReduced(budget string, free int64)
 }
 
-// Config sizes the slice.
+// Config holds the bounds and sizes of a Node.
 type Config struct {
 	// Self is this instance's incarnation.
 	Self string
 	// Shards is the number of ledger shards.
 	Shards int
-	// Ahead is how much of its demand a spender keeps allocated.
+	// AllocateAhead is the period of demand for which a spender keeps tokens
+	// allocated.
 	Ahead time.Duration
-	// SignedAhead is how much of its demand a holder keeps countersigned. A
-	// crash leaves no more than that in doubt.
-	SignedAhead time.Duration
-	// Horizon is how much of its demand a holder keeps drawn, to last through
-	// an outage of the store.
-	Horizon time.Duration
-	// PoolShare is the part of a budget's free tokens that one draw may take
-	// beyond the present need: 1/PoolShare. Default 4.
-	PoolShare int64
-	// FoldEvery is the least time between two writes of a holder to one shard
-	// that only record spending.
-	FoldEvery time.Duration
-	// MinimumSigned is the least number of tokens countersigned ahead.
+	// SignAhead is the period of demand for which a holder keeps tokens
+	// countersigned. A crash leaves no more than that in doubt.
+	SignAhead time.Duration
+	// DrawAhead is the period of demand for which a holder keeps tokens drawn, so
+	// that they last through an outage of the store.
+	DrawAhead time.Duration
+	// ExtraDrawDivisor bounds what one draw may take beyond the present need:
+	// 1/ExtraDrawDivisor of the budget's remaining free tokens. Default 4.
+	ExtraDrawDivisor int64
+	// RecordInterval is the minimum time between two writes of a holder to one
+	// shard that only record used tokens.
+	RecordInterval time.Duration
+	// MinSignedTokens is the minimum number of tokens countersigned ahead.
 	MinimumSigned int64
-	// Unwitnessed lets holders allocate without countersignature; the
+	// Unwitnessed lets holders allocate without a countersignature; the
 	// experiment uses it as a baseline.
 	Unwitnessed bool
 }
 
-// Defaults of the sizing.
+// Defaults of Config.
 const (
-	DefaultAhead       = 2 * time.Second
-	DefaultSignedAhead = 2 * time.Second
-	DefaultHorizon     = time.Hour
-	DefaultPoolShare   = 4
-	DefaultFoldEvery   = 5 * time.Second
-	// tickSmoothing is the weight of the newest tick in smoothed demand.
-	tickSmoothing = 0.2
+	DefaultAllocateAhead    = 2 * time.Second
+	DefaultSignAhead        = 2 * time.Second
+	DefaultDrawAhead        = time.Hour
+	DefaultExtraDrawDivisor = 4
+	DefaultRecordInterval   = 5 * time.Second
+	// demandSmoothingFactor is the weight of the newest tick in a smoothed demand
+	// rate.
+	demandSmoothingFactor = 0.2
 )
 
-// WithDefaults fills in what is zero.
+// WithDefaults returns the configuration with defaults for zero fields.
 func (c Config) WithDefaults() Config {
 	if c.Ahead == 0 {
-		c.Ahead = DefaultAhead
+		c.Ahead = DefaultAllocateAhead
 	}
-	if c.SignedAhead == 0 {
-		c.SignedAhead = DefaultSignedAhead
+	if c.SignAhead == 0 {
+		c.SignAhead = DefaultSignAhead
 	}
-	if c.Horizon == 0 {
-		c.Horizon = DefaultHorizon
+	if c.DrawAhead == 0 {
+		c.DrawAhead = DefaultDrawAhead
 	}
-	if c.PoolShare == 0 {
-		c.PoolShare = DefaultPoolShare
+	if c.ExtraDrawDivisor == 0 {
+		c.ExtraDrawDivisor = DefaultExtraDrawDivisor
 	}
-	if c.FoldEvery == 0 {
-		c.FoldEvery = DefaultFoldEvery
+	if c.RecordInterval == 0 {
+		c.RecordInterval = DefaultRecordInterval
 	}
 	return c
 }
--- a/pkg/budget/lot.go
+++ b/pkg/budget/lot.go
@@ -7,8 +7,8 @@
 	"github.com/lavenderring/lavenderring/pkg/budget/budgetpb"
 )
 
-// lot is a spender's part of a grant. Invariant:
-// used + returned + reserved ≤ allocated, and the first two only grow.
+// lot is the part of a grant that is allocated to this spender. Invariant:
+// used + returned + reserved ≤ allocated, and used and returned only increase.
 type lot struct {
 	grant, holder, witness string
 	allocated              int64
@@ -21,21 +21,21 @@
 
 func (l *lot) free() int64 { return l.allocated - l.used - l.returned - l.reserved }
 
-func (l *lot) dirty() bool { return l.used != l.reportedUsed || l.returned != l.reportedReturned }
+func (l *lot) unreported() bool { return l.used != l.reportedUsed || l.returned != l.reportedReturned }
 
-// finished reports that nothing of the lot is left to spend or report.
-func (l *lot) finished() bool { return l.free() == 0 && l.reserved == 0 && !l.dirty() }
+// finished reports whether the lot has no tokens left to spend, settle or report.
+func (l *lot) finished() bool { return l.free() == 0 && l.reserved == 0 && !l.unreported() }
 
-// position is what a spender has of one budget.
+// position is what a spender holds of one budget.
 type position struct {
-	lots      []*lot
-	seq       uint64
-	demand    int64   // tokens reserved since the last tick
-	perSecond float64 // smoothed demand, tokens a second
-	idle      int     // ticks without demand
-	gather    sync.Mutex
-	deniedAt  time.Time
-	denied    *ShortError // what the last search in vain found
+	lots       []*lot
+	seq        uint64
+	demand     int64   // tokens reserved since the last tick
+	demandRate float64 // smoothed, in tokens per second
+	idleTicks  int     // consecutive ticks without demand
+	searchMu   sync.Mutex
+	deniedAt   time.Time
+	lastDenial *ShortError // result of the last search that found too few tokens
 }
 
 func (p *position) free() int64 {
@@ -46,23 +46,23 @@
 	return free
 }
 
-func (p *position) take(tokens int64, into *Reservation) bool {
+func (p *position) reserve(tokens int64, into *Reservation) bool {
 	for _, l := range p.lots {
 		if l.free() >= tokens {
 			into.add(l, tokens)
 			return true
 		}
 	}
-	return p.takeFromSeveral(tokens, into)
+	return p.reserveFromSeveral(tokens, into)
 }
 
-func (p *position) takeFromSeveral(tokens int64, into *Reservation) bool {
+func (p *position) reserveFromSeveral(tokens int64, into *Reservation) bool {
 	if p.free() < tokens {
 		return false
 	}
 	missing := tokens
 	for _, l := range p.lots {
-		if l.free() <= 0 || into.count == maxParts {
+		if l.free() <= 0 || into.numParts == maxParts {
 			continue
 		}
 		share := min(l.free(), missing)
@@ -76,29 +76,29 @@
 	return true
 }
 
-func (p *position) merge(told *budgetpb.Lot) {
+func (p *position) merge(received *budgetpb.Lot) {
 	for _, l := range p.lots {
-		if l.grant == told.Grant {
-			l.allocated = max(l.allocated, told.Allocated)
-			l.witness = told.Witness
+		if l.grant == received.Grant {
+			l.allocated = max(l.allocated, received.Allocated)
+			l.witness = received.Witness
 			return
 		}
 	}
-	if told.Allocated == 0 {
+	if received.Allocated == 0 {
 		return
 	}
 	p.lots = append(p.lots, &lot{
-		grant:     told.Grant,
-		holder:    told.Holder,
-		witness:   told.Witness,
-		allocated: told.Allocated,
+		grant:     received.Grant,
+		holder:    received.Holder,
+		witness:   received.Witness,
+		allocated: received.Allocated,
 	})
 }
 
-// giveBack returns free tokens beyond keep. A returned token is counted as
-// returned before the message that says so is sent: if it is lost the token
-// is nobody's for a while, never two instances'.
-func (p *position) giveBack(keep int64) {
+// returnSurplus returns free tokens beyond keep. A token is counted as returned
+// before the report is sent: if the report is lost, the token is unavailable to
+// every instance for a while, but never available to two.
+func (p *position) returnSurplus(keep int64) {
 	surplus := p.free() - keep
 	for _, l := range p.lots {
 		share := min(surplus, l.free())
@@ -109,22 +109,23 @@
 	}
 }
 
-// idleTicksBeforeReturn is how long an unused lot is kept.
+// idleTicksBeforeReturn is the number of ticks for which an unused lot is kept.
 const idleTicksBeforeReturn = 15
 
-func (p *position) smooth(interval time.Duration) {
+func (p *position) smoothDemand(interval time.Duration) {
 	perSecond := float64(p.demand) / interval.Seconds()
-	p.perSecond += tickSmoothing * (perSecond - p.perSecond)
-	p.idle++
+	p.demandRate += demandSmoothingFactor * (perSecond - p.demandRate)
+	p.idleTicks++
 	if p.demand > 0 {
-		p.idle = 0
+		p.idleTicks = 0
 	}
 	p.demand = 0
 }
 
-// quiet reports that ticks have nothing to do until the budget is used again.
-func (p *position) quiet() bool {
-	if p.idle < idleTicksBeforeReturn {
+// inactive reports whether ticks have nothing to do until the budget is used
+// again.
+func (p *position) inactive() bool {
+	if p.idleTicks < idleTicksBeforeReturn {
 		return false
 	}
 	for _, l := range p.lots {
@@ -132,6 +133,6 @@
 			return false
 		}
 	}
-	p.perSecond = 0
+	p.demandRate = 0
 	return true
 }
--- a/pkg/budget/node.go
+++ b/pkg/budget/node.go
@@ -9,20 +9,21 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// Bounds on how often the slow ways are tried.
+// Bounds on how often expensive operations are tried.
 const (
-	// denyFor is how long a failed search answers for later ones of the same
-	// size or more, so that an exhausted account does not cost a search for
-	// each request.
-	denyFor = 100 * time.Millisecond
-	// directEvery is the least time between two settlements past a silent
-	// holder and its witness.
-	directEvery = 10 * time.Second
-	// maxRefillRounds bounds the steps of one refill.
+	// denialLifetime is how long the result of a failed search is returned to
+	// later reservations of the same size or more, so that an exhausted client
+	// account does not cause a search for each request.
+	denialLifetime = 100 * time.Millisecond
+	// directSettleInterval is the minimum time between two settlements that
+	// bypass the same holder and its witness and go to the ledger directly.
+	directSettleInterval = 10 * time.Second
+	// maxRefillRounds bounds the rounds of one refill.
 	maxRefillRounds = 3
 )
 
-// Node plays all three roles for one instance. It is safe for concurrent use.
+// Node is the spender, holder and witness of one instance. It is safe for
+// concurrent use.
 type Node struct {
 	cfg      Config
 	ledger   Ledger
@@ -32,28 +33,29 @@
 	observer Observer
 	now      func() time.Time
 
-	spender   *Spender
-	holder    *Holder
-	witness   *Witness
-	collector *Collector
-	shards    []sync.Mutex // one ledger write of the holder at a time
-
-	mu       sync.Mutex
-	lastTick time.Time
-	lastFold time.Time
-	taken    map[string]bool // silent holders whose grants were reclaimed
-	direct   map[string]time.Time
-	unclosed []*grant // surrendered, not closed in the ledger yet
+	spender    *Spender
+	holder     *Holder
+	witness    *Witness
+	collector  *Collector
+	shardLocks []sync.Mutex // by shard; allows one ledger write of the holder at a time
+
+	mu               sync.Mutex
+	lastTick         time.Time
+	lastRecord       time.Time
+	reclaimedHolders map[string]bool // silent holders whose grants were reclaimed
+	lastDirectSettle map[string]time.Time
+	pendingClose     []*grant // removed from the holder, not closed in the ledger yet
 }
 
-// Deps is what a node works with.
+// Deps holds the dependencies of a node.
 type Deps struct {
 	Ledger   Ledger
 	Peers    Peers
 	Fleet    Fleet
 	Prepaid  Prepaid
 	Observer Observer
-	// Now is the clock; it paces work and decides nothing about safety.
+	// Now returns the current time. It only paces work; no safety property
+	// depends on it.
 	Now func() time.Time
 }
 
@@ -61,21 +63,21 @@
 func NewNode(cfg Config, deps Deps) *Node {
 	cfg = cfg.WithDefaults()
 	return &Node{
-		cfg:       cfg,
-		ledger:    deps.Ledger,
-		peers:     deps.Peers,
-		fleet:     deps.Fleet,
-		prepaid:   deps.Prepaid,
-		observer:  deps.Observer,
-		now:       deps.Now,
-		spender:   NewSpender(cfg.Self),
-		holder:    NewHolder(cfg),
-		witness:   NewWitness(),
-		collector: NewCollector(),
-		shards:    make([]sync.Mutex, cfg.Shards),
-		lastTick:  deps.Now(),
-		taken:     map[string]bool{},
-		direct:    map[string]time.Time{},
+		cfg:              cfg,
+		ledger:           deps.Ledger,
+		peers:            deps.Peers,
+		fleet:            deps.Fleet,
+		prepaid:          deps.Prepaid,
+		observer:         deps.Observer,
+		now:              deps.Now,
+		spender:          NewSpender(cfg.Self),
+		holder:           NewHolder(cfg),
+		witness:          NewWitness(),
+		collector:        NewCollector(),
+		shardLocks:       make([]sync.Mutex, cfg.Shards),
+		lastTick:         deps.Now(),
+		reclaimedHolders: map[string]bool{},
+		lastDirectSettle: map[string]time.Time{},
 	}
 }
 
@@ -88,41 +90,43 @@
 // Settle ends a reservation; see Spender.Settle.
 func (n *Node) Settle(r *Reservation, used int64) int64 { return n.spender.Settle(r, used) }
 
-// Reserve sets tokens aside for one request, from lots at hand or, if they do
-// not suffice, from the holders, nearest first. Errors: *ShortError.
+// Reserve reserves tokens for one request, from this instance's lots or, if they
+// do not suffice, with tokens allocated by the holders, nearest first. Errors:
+// *ShortError.
 func (n *Node) Reserve(ctx context.Context, budget string, tokens int64, into *Reservation) error {
 	if n.spender.TryReserve(budget, tokens, into) {
 		return nil
 	}
-	p := n.spender.lockGather(budget)
-	defer p.gather.Unlock()
+	p := n.spender.lockSearch(budget)
+	defer p.searchMu.Unlock()
 	if n.spender.TryReserve(budget, tokens, into) {
 		return nil
 	}
-	if p.denied != nil && tokens >= p.denied.Need && n.now().Sub(p.deniedAt) < denyFor {
-		again := *p.denied
-		again.Need = tokens
-		return &again
+	if p.lastDenial != nil && tokens >= p.lastDenial.Need && n.now().Sub(p.deniedAt) < denialLifetime {
+		denial := *p.lastDenial
+		denial.Need = tokens
+		return &denial
 	}
-	p.denied = n.search(ctx, budget, tokens, into)
-	if p.denied != nil {
+	p.lastDenial = n.searchHolders(ctx, budget, tokens, into)
+	if p.lastDenial != nil {
 		p.deniedAt = n.now()
-		return p.denied
+		return p.lastDenial
 	}
 	return nil
 }
 
-// lockGather makes one search at a time for a budget: the tokens that one
-// search finds may serve those that wait behind it.
-func (s *Spender) lockGather(budget string) *position {
+// lockSearch locks the budget's search mutex and returns the position. Only one
+// search runs for a budget at a time, because the tokens that it finds may also
+// suffice for the reservations that wait for it.
+func (s *Spender) lockSearch(budget string) *position {
 	s.mu.Lock()
 	p := s.position(budget)
 	s.mu.Unlock()
-	p.gather.Lock()
+	p.searchMu.Lock()
 	return p
 }
 
-func (n *Node) search(ctx context.Context, budget string, tokens int64, into *Reservation) *ShortError {
+func (n *Node) searchHolders(ctx context.Context, budget string, tokens int64, into *Reservation) *ShortError {
 	short := &ShortError{Budget: budget, Need: tokens, Exhausted: true, Step: "allocate"}
 	for _, to := range n.fleet.Holders(ledger.ShardOf(budget, n.cfg.Shards)) {
 		missing := n.spender.shortfallFor(budget, tokens, n.cfg.Ahead)
@@ -156,48 +160,50 @@
 	return n.peers.Allocate(ctx, to, req)
 }
 
-// Allocate answers a spender's request, refilling first if need be.
+// Allocate handles a spender's request, after a refill if the holder cannot
+// allocate the need at once.
 func (n *Node) Allocate(ctx context.Context, req *budgetpb.AllocateRequest) (*budgetpb.AllocateReply, error) {
-	dry := false
+	exhausted := false
 	if n.holder.allocatable(req.Budget) < req.Need {
-		dry = n.refill(ctx, req.Budget, req.Need, req.Spender)
+		exhausted = n.refill(ctx, req.Budget, req.Need, req.Spender)
 	}
 	reply := n.holder.allocate(req)
-	reply.Exhausted = dry
+	reply.Exhausted = exhausted
 	return reply, nil
 }
 
-// refill makes need tokens of a budget allocatable if it can: signed from what
-// is drawn, drawn from the ledger, recalled from spenders. It reports whether
-// all of them answered and none had more.
-func (n *Node) refill(ctx context.Context, budget string, need int64, asker string) (dry bool) {
-	b := n.holder.held(budget)
-	b.refill.Lock()
-	defer b.refill.Unlock()
-	dry = true
+// refill tries to make need tokens of a budget allocatable: it has drawn tokens
+// signed, draws tokens from the ledger, and from the second round on recalls
+// tokens from spenders. It reports whether the budget is exhausted: the witness,
+// the ledger and the spenders all answered, and the tokens still do not suffice.
+func (n *Node) refill(ctx context.Context, budget string, need int64, requester string) (exhausted bool) {
+	b := n.holder.budget(budget)
+	b.refillMu.Lock()
+	defer b.refillMu.Unlock()
+	exhausted = true
 	for round := 0; round < maxRefillRounds; round++ {
-		if n.signFor(ctx, budget, need) != nil {
-			dry = false
+		if n.signBudget(ctx, budget, need) != nil {
+			exhausted = false
 			n.replaceWitness(ctx, budget)
 		}
-		missing := need - n.holder.allocatable(budget) - n.holder.unsignedRest(budget)
+		missing := need - n.holder.allocatable(budget) - n.holder.unsigned(budget)
 		if n.holder.allocatable(budget) >= need {
 			return false
 		}
-		if missing > 0 && n.drawFor(ctx, budget, missing) != nil {
-			dry = false
+		if missing > 0 && n.drawBudget(ctx, budget, missing) != nil {
+			exhausted = false
 		}
 		if round == 0 {
 			continue
 		}
-		if !n.recallFor(ctx, budget, asker) {
-			dry = false
+		if !n.recallBudget(ctx, budget, requester) {
+			exhausted = false
 		}
 	}
-	return dry && n.holder.allocatable(budget) < need
+	return exhausted && n.holder.allocatable(budget) < need
 }
 
-func (n *Node) signFor(ctx context.Context, budget string, need int64) error {
+func (n *Node) signBudget(ctx context.Context, budget string, need int64) error {
 	witness, state := n.holder.signRequest(budget, need)
 	if witness == "" {
 		n.holder.selfSign(budget, need)
@@ -214,15 +220,15 @@
 	if err != nil {
 		return err
 	}
-	for _, g := range n.holder.signed(witness, states, reply.Signatures) {
-		n.lose(ctx, g)
+	for _, g := range n.holder.mergeSignatures(witness, states, reply.Signatures) {
+		n.loseGrant(ctx, g)
 	}
 	return nil
 }
 
-func (n *Node) drawFor(ctx context.Context, budget string, missing int64) error {
+func (n *Node) drawBudget(ctx context.Context, budget string, missing int64) error {
 	witness := n.chooseWitness()
-	return n.write(ctx, ledger.ShardOf(budget, n.cfg.Shards), func() []ledgerUpdate {
+	return n.writeShard(ctx, ledger.ShardOf(budget, n.cfg.Shards), func() []ledgerUpdate {
 		return []ledgerUpdate{n.holder.drawUpdate(budget, witness, missing)}
 	})
 }
@@ -235,46 +241,47 @@
 }
 
 // replaceWitness names another witness at once when the present one does not
-// answer a request that waits. It may be too early: that costs a write, and to
-// wait until the silence is certain costs a caller its answer.
+// answer while a request waits. If the witness is only slow, this costs an
+// unnecessary write; waiting until it counts as silent would fail the request.
 func (n *Node) replaceWitness(ctx context.Context, budget string) {
-	if g, failed := n.holder.openOf(budget); g != nil {
-		n.renameWitness(ctx, []*grant{g}, n.fleet.Witness(failed))
+	if g, failed := n.holder.confirmedGrant(budget); g != nil {
+		n.nameWitness(ctx, []*grant{g}, n.fleet.Witness(failed))
 	}
 }
 
-// write brings a holder's updates for one shard to the ledger, with the prepaid
-// amounts in force, in one conditional write. Writes to a shard come one at a
-// time, updates included: a grant can grow and shrink, and results taken over in
-// the wrong order would make it look larger than it is.
-func (n *Node) write(ctx context.Context, shard int, makeUpdates func() []ledgerUpdate) error {
-	n.shards[shard].Lock()
-	defer n.shards[shard].Unlock()
+// writeShard writes the holder's updates for one shard to the ledger, together
+// with the prepaid amounts in force, in one conditional write. Making the
+// updates, writing them and merging the results happens for one write to a shard
+// at a time: a grant can grow and shrink, and results merged in the wrong order
+// would make it appear larger than it is.
+func (n *Node) writeShard(ctx context.Context, shard int, makeUpdates func() []ledgerUpdate) error {
+	n.shardLocks[shard].Lock()
+	defer n.shardLocks[shard].Unlock()
 	updates := makeUpdates()
 	if len(updates) == 0 {
 		return nil
 	}
-	return n.writeLocked(ctx, shard, updates)
+	return n.writeShardLocked(ctx, shard, updates)
 }
 
-func (n *Node) writeLocked(ctx context.Context, shard int, updates []ledgerUpdate) error {
+func (n *Node) writeShardLocked(ctx context.Context, shard int, updates []ledgerUpdate) error {
 	var results []ledgerResult
 	err := n.ledger.Update(ctx, shard, func(s *ledger.Shard) {
 		results = results[:0]
 		for _, p := range n.prepaid(shard) {
 			s.SetPrepaid(p.Service, p.Generation, p.Amounts)
 		}
-		for _, w := range updates {
-			results = append(results, w.apply(s, n.cfg.Self, n.cfg.PoolShare))
+		for _, update := range updates {
+			results = append(results, update.apply(s, n.cfg.Self, n.cfg.ExtraDrawDivisor))
 		}
 	})
 	if err != nil {
 		return err
 	}
-	lost := n.holder.adopt(results)
-	n.observe(results)
+	lost := n.holder.mergeResults(results)
+	n.notifyObserver(results)
 	for _, r := range lost {
-		if g := n.holder.surrender(r.update.id); g != nil {
+		if g := n.holder.removeGrant(r.update.id); g != nil {
 			n.closeGrant(ctx, g)
 			n.observer.GrantLost(g.budget, g.id)
 		}
@@ -282,38 +289,38 @@
 	return nil
 }
 
-func (n *Node) observe(results []ledgerResult) {
+func (n *Node) notifyObserver(results []ledgerResult) {
 	for _, r := range results {
-		if r.drawn > r.update.target {
-			n.observer.GrantDrawn(r.update.budget, r.update.id, r.drawn-r.update.target)
+		if r.drawn > r.update.drawn {
+			n.observer.GrantDrawn(r.update.budget, r.update.id, r.drawn-r.update.drawn)
 		}
 		if r.free < 0 {
 			n.observer.BudgetReduced(r.update.budget, r.free)
 		}
-		if r.update.rename && r.err == nil {
+		if r.update.nameWitness && r.err == nil {
 			n.observer.WitnessNamed(r.update.budget, r.update.id, r.update.witness)
 		}
 	}
 }
 
-// SyncPrepaid brings the prepaid amounts in force to one shard.
+// SyncPrepaid writes the prepaid amounts in force to one shard.
 func (n *Node) SyncPrepaid(ctx context.Context, shard int) error {
-	n.shards[shard].Lock()
-	defer n.shards[shard].Unlock()
-	return n.writeLocked(ctx, shard, nil)
+	n.shardLocks[shard].Lock()
+	defer n.shardLocks[shard].Unlock()
+	return n.writeShardLocked(ctx, shard, nil)
 }
 
-// recallFor asks spenders to return what they do not need, and reports whether
-// all answered.
-func (n *Node) recallFor(ctx context.Context, budget, asker string) bool {
+// recallBudget recalls a budget's unreserved tokens from all spenders except the
+// requester, and reports whether all of them answered.
+func (n *Node) recallBudget(ctx context.Context, budget, requester string) bool {
 	all := true
-	for _, spender := range n.holder.borrowers(budget, asker) {
+	for _, spender := range n.holder.spendersWithTokens(budget, requester) {
 		usages, err := n.recallFrom(ctx, spender, budget)
 		if err != nil {
 			all = false
 			continue
 		}
-		n.holder.report(spender, usages)
+		n.holder.mergeReport(spender, usages)
 	}
 	return all
 }
@@ -329,44 +336,44 @@
 	return reply.Usages, nil
 }
 
-// Recall answers a holder that needs tokens back.
+// Recall handles the request of a holder that needs tokens back.
 func (n *Node) Recall(_ context.Context, req *budgetpb.RecallRequest) (*budgetpb.RecallReply, error) {
 	return &budgetpb.RecallReply{Usages: n.spender.recall(req.Budget)}, nil
 }
 
-// Sign answers a holder whose witness this instance is.
+// Sign handles the request of a holder whose witness is this instance.
 func (n *Node) Sign(_ context.Context, req *budgetpb.SignRequest) (*budgetpb.SignReply, error) {
 	return n.witness.sign(req), nil
 }
 
-// Report takes a spender's usages, of open grants as their holder, of closed
-// ones as whoever gathers their evidence.
+// Report handles a spender's usages: those of open grants as their holder, those
+// of closed grants as the instance that collects their usages.
 func (n *Node) Report(_ context.Context, req *budgetpb.ReportRequest) (*budgetpb.ReportReply, error) {
-	lots, elsewhere := n.holder.report(req.Spender, req.Usages)
-	rest := n.collector.report(elsewhere)
-	return &budgetpb.ReportReply{Lots: lots, Settled: rest.settled, Unknown: rest.unknown}, nil
+	lots, notOpen := n.holder.mergeReport(req.Spender, req.Usages)
+	closed := n.collector.report(notOpen)
+	return &budgetpb.ReportReply{Lots: lots, Settled: closed.settled, Unknown: closed.unknown}, nil
 }
 
-// lose gives up a grant that its witness has closed.
-func (n *Node) lose(ctx context.Context, g *grant) {
-	if n.holder.surrender(g.id) == nil {
+// loseGrant removes a grant that its witness has closed.
+func (n *Node) loseGrant(ctx context.Context, g *grant) {
+	if n.holder.removeGrant(g.id) == nil {
 		return
 	}
 	n.observer.GrantLost(g.budget, g.id)
 	n.closeGrant(ctx, g)
 }
 
-// unallocatedKey is the spender under which a holder accounts for the part of
+// unallocatedSpender is the spender name under which a holder returns the part of
 // a closed grant that it never allocated.
-func (n *Node) unallocatedKey() string { return n.cfg.Self + "/unallocated" }
+func (n *Node) unallocatedSpender() string { return n.cfg.Self + "/unallocated" }
 
-// closeGrant closes a surrendered grant in the ledger, or, if its witness was
-// first, returns the part that was signed but never allocated: nobody else
-// knows how much that is. Evidence that cannot be written now stays with the
+// closeGrant closes a removed grant in the ledger. If its witness has closed it
+// already, closeGrant returns the part that was signed but never allocated, which
+// no other instance knows. Usages that cannot be written now stay with the
 // collector.
 func (n *Node) closeGrant(ctx context.Context, g *grant) {
-	evidence := g.evidence()
-	n.collector.add(g.id, g.budget, evidence)
+	usages := g.usages()
+	n.collector.addGrant(g.id, g.budget, usages)
 	settled := false
 	var unallocated ledger.Usage
 	err := n.ledger.Update(ctx, ledger.ShardOf(g.budget, n.cfg.Shards), func(s *ledger.Shard) {
@@ -377,26 +384,26 @@
 			settled = true
 			return
 		}
-		row := b.Grants[g.id]
-		if row.Closed {
-			unallocated = ledger.Usage{Returned: max(row.Allocated-g.allocated, 0)}
-			evidence[n.unallocatedKey()] = unallocated
-			_ = s.MergeUsages(g.budget, g.id, evidence)
+		recorded := b.Grants[g.id]
+		if recorded.Closed {
+			unallocated = ledger.Usage{Returned: max(recorded.Allocated-g.allocated, 0)}
+			usages[n.unallocatedSpender()] = unallocated
+			_ = s.MergeUsages(g.budget, g.id, usages)
 		} else {
-			_ = s.Close(g.budget, g.id, g.allocated, evidence)
+			_ = s.Close(g.budget, g.id, g.allocated, usages)
 		}
 		settled = b.Grants[g.id] == nil
 	})
 	if err != nil {
-		n.retryClose(g)
+		n.deferClose(g)
 		return
 	}
-	n.collector.written(closedGrant{id: g.id, evidence: evidence}, settled)
+	n.collector.markWritten(closedGrant{id: g.id, usages: usages}, settled)
 }
 
-// retryClose keeps a surrendered grant to be closed at a later tick.
-func (n *Node) retryClose(g *grant) {
+// deferClose keeps a removed grant to be closed at a later tick.
+func (n *Node) deferClose(g *grant) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.unclosed = append(n.unclosed, g)
+	n.pendingClose = append(n.pendingClose, g)
 }
--- a/pkg/budget/order.go
+++ b/pkg/budget/order.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// sortedKeys fixes the order in which a duty goes through a map, so that the
-// same history always takes the same course and can be played again.
+// sortedKeys returns the keys of a map in order. Maps are processed in this order
+// so that a test run is deterministic and can be reproduced from its seed.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// sortedTargets orders reports by holder, then witness.
-func sortedTargets(r reports) []reportTarget {
-	return slices.SortedFunc(maps.Keys(r), func(a, b reportTarget) int {
+// sortedTargets returns the targets of reports, ordered by holder, then witness.
+func sortedTargets(byTarget reports) []reportTarget {
+	return slices.SortedFunc(maps.Keys(byTarget), func(a, b reportTarget) int {
 		return cmp.Or(cmp.Compare(a.holder, b.holder), cmp.Compare(a.witness, b.witness))
 	})
 }
--- a/pkg/budget/plan.go
+++ b/pkg/budget/plan.go
@@ -9,55 +9,56 @@
 
 // tickPlan is a holder's work of one tick.
 type tickPlan struct {
-	// sign holds, by witness, what to have signed.
-	sign map[string][]*budgetpb.GrantState
-	// draw holds, by shard, the grants to bring up to date in the ledger.
-	draw map[int][]*grant
-	// renew lists budgets whose witness has to be replaced.
-	renew []*grant
+	// statesByWitness holds, by witness, the grant states to be countersigned.
+	statesByWitness map[string][]*budgetpb.GrantState
+	// updateByShard holds, by shard, the grants to be updated in the ledger.
+	updateByShard map[int][]*grant
+	// replaceWitness lists the grants whose witness has to be replaced.
+	replaceWitness []*grant
 }
 
-// plan smooths demand over an interval and gathers the work of one tick.
-// foldDue says that spending is to be written even if nothing is drawn.
-func (h *Holder) plan(interval time.Duration, foldDue bool, witnessGone func(string) bool) tickPlan {
+// plan updates the demand rates for the interval since the last tick and
+// collects the work of this tick. If recordDue, grants are updated in the ledger
+// too. mustReplace reports whether a witness has to be replaced.
+func (h *Holder) plan(interval time.Duration, recordDue bool, mustReplace func(string) bool) tickPlan {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	plan := tickPlan{sign: map[string][]*budgetpb.GrantState{}, draw: map[int][]*grant{}}
-	for _, id := range sortedKeys(h.byGrant) {
-		g := h.byGrant[id]
-		g.smooth(interval)
-		if g.fresh {
+	plan := tickPlan{statesByWitness: map[string][]*budgetpb.GrantState{}, updateByShard: map[int][]*grant{}}
+	for _, id := range sortedKeys(h.grants) {
+		g := h.grants[id]
+		g.smoothDemand(interval)
+		if g.unconfirmed {
 			continue
 		}
-		if g.renaming || witnessGone(g.witness) {
-			plan.renew = append(plan.renew, g)
+		if g.replacingWitness || mustReplace(g.witness) {
+			plan.replaceWitness = append(plan.replaceWitness, g)
 		} else if g.witness != "" {
-			h.planSign(g, &plan)
+			h.planSignature(g, &plan)
 		}
-		h.planDraw(g, foldDue, &plan)
+		h.planUpdate(g, recordDue, &plan)
 	}
 	return plan
 }
 
-func (g *grant) smooth(interval time.Duration) {
+func (g *grant) smoothDemand(interval time.Duration) {
 	perSecond := float64(g.demand) / interval.Seconds()
-	g.perSecond += tickSmoothing * (perSecond - g.perSecond)
+	g.demandRate += demandSmoothingFactor * (perSecond - g.demandRate)
 	g.demand = 0
 }
 
-func (h *Holder) planSign(g *grant, plan *tickPlan) {
-	low := int64(g.perSecond * h.cfg.SignedAhead.Seconds() / 2)
-	if g.allocatable() > max(low, h.cfg.MinimumSigned/2) && len(g.unsentUsages) == 0 {
+func (h *Holder) planSignature(g *grant, plan *tickPlan) {
+	minAllocatable := int64(g.demandRate * h.cfg.SignAhead.Seconds() / 2)
+	if g.allocatable() > max(minAllocatable, h.cfg.MinimumSigned/2) && len(g.unsentUsages) == 0 {
 		return
 	}
-	if state := h.signState(g, 0); state != nil {
-		plan.sign[g.witness] = append(plan.sign[g.witness], state)
+	if state := h.signingState(g, 0); state != nil {
+		plan.statesByWitness[g.witness] = append(plan.statesByWitness[g.witness], state)
 	}
 }
 
-func (h *Holder) planDraw(g *grant, foldDue bool, plan *tickPlan) {
-	if foldDue && (g.rest() > 0 || g.used > g.folded || g.offered > 0) {
+func (h *Holder) planUpdate(g *grant, recordDue bool, plan *tickPlan) {
+	if recordDue && (g.unallocated() > 0 || g.used > g.recordedUsed || g.pendingReturn > 0) {
 		shard := ledger.ShardOf(g.budget, h.cfg.Shards)
-		plan.draw[shard] = append(plan.draw[shard], g)
+		plan.updateByShard[shard] = append(plan.updateByShard[shard], g)
 	}
 }
--- a/pkg/budget/reservation.go
+++ b/pkg/budget/reservation.go
@@ -3,25 +3,25 @@
 // maxParts bounds the lots that one reservation may take tokens from.
 const maxParts = 8
 
-// part is a reservation's share of one lot.
-type part struct {
+// reservationPart is the part of a reservation that is taken from one lot.
+type reservationPart struct {
 	lot    *lot
 	tokens int64
 }
 
-// Reservation sets tokens aside for one request. It must be settled exactly
-// once; settling again changes nothing.
+// Reservation reserves tokens for one request. It must be settled exactly once;
+// settling it again changes nothing.
 type Reservation struct {
-	budget string
-	parts  [maxParts]part
-	count  int
-	done   bool
+	budget   string
+	parts    [maxParts]reservationPart
+	numParts int
+	settled  bool
 }
 
-// Tokens returns how many tokens are set aside.
+// Tokens returns the number of reserved tokens.
 func (r *Reservation) Tokens() int64 {
 	var tokens int64
-	for i := 0; i < r.count; i++ {
+	for i := 0; i < r.numParts; i++ {
 		tokens += r.parts[i].tokens
 	}
 	return tokens
@@ -32,13 +32,13 @@
 		return
 	}
 	l.reserved += tokens
-	r.parts[r.count] = part{lot: l, tokens: tokens}
-	r.count++
+	r.parts[r.numParts] = reservationPart{lot: l, tokens: tokens}
+	r.numParts++
 }
 
 func (r *Reservation) release() {
-	for i := 0; i < r.count; i++ {
+	for i := 0; i < r.numParts; i++ {
 		r.parts[i].lot.reserved -= r.parts[i].tokens
 	}
-	r.count = 0
+	r.numParts = 0
 }
--- a/pkg/budget/safety_test.go
+++ b/pkg/budget/safety_test.go
@@ -15,29 +15,29 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// Sizes of one random history.
+// Sizes of the random histories.
 const (
-	historyNodes    = 6
-	historyDomains  = 3
-	historyShards   = 2
-	historyBudgets  = 3
-	historySteps    = 400
-	historyPrepaid  = 1500
-	largestRequest  = 300
-	quietTicks      = 30
-	historiesPerRun = 80
+	historyInstances = 6
+	historyDomains   = 3
+	historyShards    = 2
+	historyBudgets   = 3
+	historySteps     = 400
+	historyPrepaid   = 1500
+	maxRequestTokens = 300
+	faultFreeTicks   = 30
+	numHistories     = 80
 )
 
-// history plays random operations and faults on a fleet and keeps what the
-// engines would have counted.
+// history runs random operations and faults on a fleet and records the tokens that
+// the engines would have counted.
 type history struct {
-	rng     *rand.Rand
-	fleet   *fleetfake.Fleet
-	open    []openRequest
-	spent   map[string]int64
-	highest map[string]int64
-	failure string
-	test    *testing.T
+	rng          *rand.Rand
+	fleet        *fleetfake.Fleet
+	openRequests []openRequest
+	spent        map[string]int64
+	maxPrepaid   map[string]int64
+	failure      string
+	test         *testing.T
 }
 
 type openRequest struct {
@@ -46,22 +46,22 @@
 	reservation *budget.Reservation
 }
 
-func budgetName(i int) string { return fmt.Sprintf("s/account-%d", i) }
+func budgetID(i int) string { return fmt.Sprintf("s/account-%d", i) }
 
 func newHistory(seed uint64) *history {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	prepaid := map[string]int64{}
-	highest := map[string]int64{}
+	maxPrepaid := map[string]int64{}
 	for i := 0; i < historyBudgets; i++ {
-		prepaid[budgetName(i)] = historyPrepaid
-		highest[budgetName(i)] = historyPrepaid
+		prepaid[budgetID(i)] = historyPrepaid
+		maxPrepaid[budgetID(i)] = historyPrepaid
 	}
-	cfg := budget.Config{Shards: historyShards, FoldEvery: 2 * time.Second, MinimumSigned: 100}
+	cfg := budget.Config{Shards: historyShards, RecordInterval: 2 * time.Second, MinimumSigned: 100}
 	h := &history{
-		rng:     rng,
-		fleet:   fleetfake.New(historyNodes, historyDomains, cfg, prepaid, rng),
-		spent:   map[string]int64{},
-		highest: highest,
+		rng:        rng,
+		fleet:      fleetfake.New(historyInstances, historyDomains, cfg, prepaid, rng),
+		spent:      map[string]int64{},
+		maxPrepaid: maxPrepaid,
 	}
 	h.fleet.Faults = fleetfake.Faults{
 		LoseWriteAnswer: 0.1,
@@ -73,8 +73,8 @@
 	return h
 }
 
-// whilePaused lets the others go on, past the bound after which they think the
-// paused instance dead, then somewhat longer.
+// whilePaused lets the other instances continue until the paused one counts as
+// silent, and for a few seconds more.
 func (h *history) whilePaused(*fleetfake.Member) {
 	for i := 0; i < 6; i++ {
 		h.fleet.Advance(time.Second)
@@ -89,7 +89,7 @@
 		h.step()
 		h.check()
 	}
-	h.heal()
+	h.endFaults()
 	return h.failure
 }
 
@@ -111,39 +111,39 @@
 	case n < 96:
 		h.togglePause()
 	default:
-		h.toggleCut()
+		h.toggleLink()
 	}
 }
 
 func (h *history) reserve() {
-	member := h.fleet.Nodes[h.rng.IntN(historyNodes)]
+	member := h.fleet.Nodes[h.rng.IntN(historyInstances)]
 	if !member.Up() {
 		return
 	}
 	request := openRequest{
 		member:      member,
-		budget:      budgetName(h.rng.IntN(historyBudgets)),
+		budget:      budgetID(h.rng.IntN(historyBudgets)),
 		reservation: &budget.Reservation{},
 	}
-	tokens := int64(1 + h.rng.IntN(largestRequest))
+	tokens := int64(1 + h.rng.IntN(maxRequestTokens))
 	err := member.Node.Reserve(h.test.Context(), request.budget, tokens, request.reservation)
 	if err == nil {
-		h.open = append(h.open, request)
+		h.openRequests = append(h.openRequests, request)
 	}
 }
 
-// settle ends a random request. The engine has spent the tokens also when the
-// instance that asked for them is dead and bills nothing.
+// settle ends a random request. The engine has spent the tokens even if the
+// instance that reserved them is dead and bills nothing.
 func (h *history) settle() {
-	if len(h.open) == 0 {
+	if len(h.openRequests) == 0 {
 		return
 	}
-	i := h.rng.IntN(len(h.open))
-	request := h.open[i]
+	i := h.rng.IntN(len(h.openRequests))
+	request := h.openRequests[i]
 	if !request.member.Up() && !request.member.Dead {
 		return
 	}
-	h.open = append(h.open[:i], h.open[i+1:]...)
+	h.openRequests = append(h.openRequests[:i], h.openRequests[i+1:]...)
 	used := request.reservation.Tokens()
 	if h.rng.IntN(3) == 0 {
 		used = h.rng.Int64N(used + 1)
@@ -154,10 +154,10 @@
 	}
 }
 
-func (h *history) crash() { h.fleet.Crash(h.rng.IntN(historyNodes)) }
+func (h *history) crash() { h.fleet.Crash(h.rng.IntN(historyInstances)) }
 
 func (h *history) topUp() {
-	name := budgetName(h.rng.IntN(historyBudgets))
+	name := budgetID(h.rng.IntN(historyBudgets))
 	prepaid := map[string]int64{}
 	for id, amount := range h.fleet.Prepaid {
 		prepaid[id] = amount
@@ -165,57 +165,58 @@
 	prepaid[name] = max(prepaid[name]+int64(h.rng.IntN(2000)-500), 0)
 	h.fleet.Prepaid = prepaid
 	h.fleet.Generation++
-	h.highest[name] = max(h.highest[name], prepaid[name])
+	h.maxPrepaid[name] = max(h.maxPrepaid[name], prepaid[name])
 }
 
 func (h *history) togglePause() {
-	place := h.rng.IntN(historyNodes)
-	if h.fleet.Nodes[place].Paused {
-		h.fleet.Resume(place)
+	index := h.rng.IntN(historyInstances)
+	if h.fleet.Nodes[index].Paused {
+		h.fleet.Resume(index)
 		return
 	}
-	h.fleet.Pause(place)
+	h.fleet.Pause(index)
 }
 
-func (h *history) toggleCut() {
-	from, to := h.rng.IntN(historyNodes), h.rng.IntN(historyNodes)
+func (h *history) toggleLink() {
+	from, to := h.rng.IntN(historyInstances), h.rng.IntN(historyInstances)
 	if from != to {
 		h.fleet.Cut(from, to, h.rng.IntN(2) == 0)
 	}
 }
 
-// check compares what the engines counted with the most that was ever prepaid.
+// check compares the engines' count with the highest prepaid amount so far.
 func (h *history) check() {
 	for name, spent := range h.spent {
-		if spent > h.highest[name] && h.failure == "" {
-			h.failure = fmt.Sprintf("%s: spent %d of %d prepaid", name, spent, h.highest[name])
+		if spent > h.maxPrepaid[name] && h.failure == "" {
+			h.failure = fmt.Sprintf("%s: %d tokens spent of %d prepaid", name, spent, h.maxPrepaid[name])
 		}
 	}
 	h.checkCommitted()
 }
 
-// checkCommitted looks at what the last write committed: never more than was
-// prepaid, and never less than what is spent or can be spent by anybody.
+// checkCommitted checks the last committed state: the settled and held tokens of a
+// budget never exceed the prepaid amount, and are never fewer than the tokens that
+// are spent or that an instance can still spend.
 func (h *history) checkCommitted() {
-	for name, highest := range h.highest {
+	for name, maxPrepaid := range h.maxPrepaid {
 		b := h.fleet.Budget(name)
 		if b == nil || h.failure != "" {
 			continue
 		}
-		if withheld(b) > highest {
-			h.failure = fmt.Sprintf("%s: the ledger withholds %d of %d prepaid", name, withheld(b), highest)
+		if settledAndHeld(b) > maxPrepaid {
+			h.failure = fmt.Sprintf("%s: the ledger holds %d tokens of %d prepaid", name, settledAndHeld(b), maxPrepaid)
 		}
-		if reach := h.spent[name] + h.inReach(name); reach > withheld(b) {
-			h.failure = fmt.Sprintf("%s: %d spent or in reach, the ledger withholds %d", name, reach, withheld(b))
+		if spendable := h.spent[name] + h.available(name); spendable > settledAndHeld(b) {
+			h.failure = fmt.Sprintf("%s: %d tokens are spent or can be spent, the ledger holds %d", name, spendable, settledAndHeld(b))
 		}
 	}
 }
 
-// inReach returns the tokens set aside for running requests or free at
-// instances that run.
-func (h *history) inReach(name string) int64 {
+// available returns the tokens that are reserved for open requests or free at the
+// present instances.
+func (h *history) available(name string) int64 {
 	var tokens int64
-	for _, request := range h.open {
+	for _, request := range h.openRequests {
 		if request.budget == name {
 			tokens += request.reservation.Tokens()
 		}
@@ -226,7 +227,7 @@
 	return tokens
 }
 
-func withheld(b *ledger.Budget) int64 {
+func settledAndHeld(b *ledger.Budget) int64 {
 	tokens := b.Settled
 	for _, g := range b.Grants {
 		tokens += g.Held()
@@ -234,21 +235,22 @@
 	return tokens
 }
 
-// heal ends all faults and requests, lets everybody stop, and compares the
-// ledger with the engines' count: equal unless an instance died, whose part may
-// be in doubt but never counted as free.
-func (h *history) heal() {
+// endFaults ends all faults and requests, runs some ticks, and checks the ledger
+// against the engines' count: it may hold more tokens than were spent, since the
+// part of an instance that died stays in doubt, but never fewer, and it never bills
+// more.
+func (h *history) endFaults() {
 	h.fleet.Faults = fleetfake.Faults{}
-	for place := range h.fleet.Nodes {
-		h.fleet.Resume(place)
+	for index := range h.fleet.Nodes {
+		h.fleet.Resume(index)
 		for other := range h.fleet.Nodes {
-			h.fleet.Cut(place, other, false)
+			h.fleet.Cut(index, other, false)
 		}
 	}
-	for len(h.open) > 0 {
+	for len(h.openRequests) > 0 {
 		h.settle()
 	}
-	for i := 0; i < quietTicks; i++ {
+	for i := 0; i < faultFreeTicks; i++ {
 		h.fleet.Advance(time.Second)
 		h.fleet.Tick()
 	}
@@ -262,23 +264,24 @@
 		if b == nil || h.failure != "" {
 			continue
 		}
-		if spent > withheld(b) {
-			h.failure = fmt.Sprintf("%s: engines counted %d, the ledger withholds %d", name, spent, withheld(b))
+		if spent > settledAndHeld(b) {
+			h.failure = fmt.Sprintf("%s: engines counted %d tokens, the ledger holds %d", name, spent, settledAndHeld(b))
 		}
 		if b.Spent() > spent {
-			h.failure = fmt.Sprintf("%s: engines counted %d, the ledger bills %d", name, spent, b.Spent())
+			h.failure = fmt.Sprintf("%s: engines counted %d tokens, the ledger bills %d", name, spent, b.Spent())
 		}
 	}
 }
 
-// Callers see their account refuse when its prepaid tokens are used up and
-// never later. Instances crash, freeze inside calls and wake, messages and
-// answers of the store are lost, ways are cut in one direction, budgets are
-// raised and lowered. Every token was deducted from the ledger before it could
-// be spent, and comes back only on the word of whoever held it.
+// No client account spends more than it prepaid, whatever faults occur. Instances
+// crash, or pause within calls and resume; messages and answers of the store are
+// lost; links fail in one direction; budgets are raised and lowered. The guarantee
+// holds because every token is deducted from the ledger before it can be spent, and
+// is freed only if the instance that held it reports it as returned, or if the
+// grant's witness has never signed it.
 func TestNoHistoryOverspends(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
-	parameters.MinSuccessfulTests = historiesPerRun
+	parameters.MinSuccessfulTests = numHistories
 	properties := gopter.NewProperties(parameters)
 	properties.Property("spent never above prepaid, ledger never below spent", prop.ForAll(
 		func(seed uint64) string {
--- a/pkg/budget/settle.go
+++ b/pkg/budget/settle.go
@@ -7,26 +7,26 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// settlePastSilent brings this spender's part of grants whose holder is silent
-// to the ledger itself, in case the witness is gone too. Grants that are still
-// open there are left to their holder.
-func (n *Node) settlePastSilent(ctx context.Context) {
+// settleForSilentHolders writes this spender's usages of lots whose holder is
+// silent to the ledger directly, in case the witness is unavailable too. Grants
+// that are still open in the ledger are left to their holder.
+func (n *Node) settleForSilentHolders(ctx context.Context) {
 	for _, holder := range n.spender.holders() {
-		if holder == n.cfg.Self || !n.fleet.Silent(holder) || !n.directDue(holder) {
+		if holder == n.cfg.Self || !n.fleet.Silent(holder) || !n.directSettleDue(holder) {
 			continue
 		}
-		n.settleDirect(ctx, n.spender.lotsOf(holder))
+		n.settleDirect(ctx, n.spender.usagesFor(holder))
 	}
 }
 
-func (n *Node) directDue(holder string) bool {
+func (n *Node) directSettleDue(holder string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	if now.Sub(n.direct[holder]) < directEvery {
+	if now.Sub(n.lastDirectSettle[holder]) < directSettleInterval {
 		return false
 	}
-	n.direct[holder] = now
+	n.lastDirectSettle[holder] = now
 	return true
 }
 
@@ -42,29 +42,29 @@
 }
 
 func (n *Node) settleShard(ctx context.Context, shard int, usages []*budgetpb.Usage) {
-	var taken []*budgetpb.Usage
+	var accepted []*budgetpb.Usage
 	var settled []string
 	err := n.ledger.Update(ctx, shard, func(s *ledger.Shard) {
-		taken, settled = taken[:0], settled[:0]
+		accepted, settled = accepted[:0], settled[:0]
 		for _, u := range usages {
-			evidence := map[string]ledger.Usage{u.Spender: {Used: u.Used, Returned: u.Returned}}
-			err := s.MergeUsages(u.Budget, u.Grant, evidence)
+			usage := map[string]ledger.Usage{u.Spender: {Used: u.Used, Returned: u.Returned}}
+			err := s.MergeUsages(u.Budget, u.Grant, usage)
 			if err == ledger.ErrGrantOpen {
 				continue
 			}
-			taken = append(taken, u)
+			accepted = append(accepted, u)
 			if err == ledger.ErrGrantMissing || s.Budgets[u.Budget].Grants[u.Grant] == nil {
 				settled = append(settled, u.Grant)
 			}
 		}
 	})
 	if err == nil {
-		n.spender.reported(taken, settled)
+		n.spender.markReported(accepted, settled)
 	}
 }
 
-// flushEvidence brings what was gathered for closed grants to the ledger.
-func (n *Node) flushEvidence(ctx context.Context) {
+// flushUsages writes the collected usages of closed grants to the ledger.
+func (n *Node) flushUsages(ctx context.Context) {
 	pending := n.collector.pending(n.cfg.Shards)
 	for _, shard := range sortedKeys(pending) {
 		n.flushShard(ctx, shard, pending[shard])
@@ -72,21 +72,21 @@
 }
 
 func (n *Node) flushShard(ctx context.Context, shard int, grants []closedGrant) {
-	states := make([]error, len(grants))
-	gone := make([]bool, len(grants))
+	errs := make([]error, len(grants))
+	settled := make([]bool, len(grants))
 	err := n.ledger.Update(ctx, shard, func(s *ledger.Shard) {
 		for i, g := range grants {
-			states[i] = s.MergeUsages(g.budget, g.id, g.evidence)
-			gone[i] = s.Budgets[g.budget] == nil || s.Budgets[g.budget].Grants[g.id] == nil
+			errs[i] = s.MergeUsages(g.budget, g.id, g.usages)
+			settled[i] = s.Budgets[g.budget] == nil || s.Budgets[g.budget].Grants[g.id] == nil
 		}
 	})
 	if err != nil {
 		return
 	}
 	for i, g := range grants {
-		if states[i] == ledger.ErrGrantOpen {
-			continue // its close has not been written yet
+		if errs[i] == ledger.ErrGrantOpen {
+			continue // the write that closes the grant has not succeeded yet
 		}
-		n.collector.written(g, gone[i])
+		n.collector.markWritten(g, settled[i])
 	}
 }
--- a/pkg/budget/spender.go
+++ b/pkg/budget/spender.go
@@ -16,8 +16,8 @@
 	positions map[string]*position
 	active    map[string]*position
 	// settled holds the ids of grants whose lots were dropped. A holder that was
-	// thought dead may wake and name such a lot again, with tokens that are
-	// spent: without this the lot would look new and be spent twice.
+	// considered dead may resume and send such a lot again, although its tokens
+	// are spent. Without this set the lot would look new and be spent twice.
 	settled  map[string]bool
 	stopping bool
 }
@@ -32,8 +32,8 @@
 	}
 }
 
-// TryReserve sets tokens aside from lots at hand, and reports whether there
-// were enough. It does no I/O and, once a budget is known, no allocation.
+// TryReserve reserves tokens from this instance's lots, and reports whether they
+// suffice. It does no I/O and, once a budget is known, no memory allocation.
 func (s *Spender) TryReserve(budget string, tokens int64, into *Reservation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 		return false
 	}
 	*into = Reservation{budget: budget}
-	if !p.take(tokens, into) {
+	if !p.reserve(tokens, into) {
 		return false
 	}
 	p.demand += tokens
@@ -50,39 +50,40 @@
 	return true
 }
 
-// Settle ends a reservation with what was used and frees the rest. Usage above
-// the reservation is cut to it, since only reserved tokens were deducted from
-// the budget; the return value is what was billed.
+// Settle ends a reservation: it records the used tokens and frees the rest. Usage
+// above the reservation is capped at it, since only the reserved tokens were
+// deducted from the budget. Settle returns the number of tokens billed, which is
+// 0 if the reservation was settled before.
 func (s *Spender) Settle(r *Reservation, used int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.done {
+	if r.settled {
 		return 0
 	}
-	r.done = true
-	left := used
-	for i := 0; i < r.count; i++ {
+	r.settled = true
+	remaining := used
+	for i := 0; i < r.numParts; i++ {
 		p := &r.parts[i]
-		share := min(left, p.tokens)
+		share := min(remaining, p.tokens)
 		p.lot.reserved -= p.tokens
 		p.lot.used += share
-		left -= share
+		remaining -= share
 	}
 	if position := s.positions[r.budget]; position != nil {
 		s.active[r.budget] = position
 	}
-	return used - left
+	return used - remaining
 }
 
-// Merge takes over what holders say they allocated. Allocated only grows, so an
-// old answer changes nothing.
+// Merge merges the lots that holders have allocated. Allocated only increases, so
+// an old answer changes nothing.
 func (s *Spender) Merge(budget string, lots []*budgetpb.Lot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.position(budget)
-	for _, told := range lots {
-		if !s.settled[told.Grant] {
-			p.merge(told)
+	for _, received := range lots {
+		if !s.settled[received.Grant] {
+			p.merge(received)
 		}
 	}
 	s.active[budget] = p
@@ -97,7 +98,7 @@
 	return p
 }
 
-// shortfall is what a spender asks a holder for.
+// shortfall is what a spender requests from a holder.
 type shortfall struct {
 	seq   uint64
 	need  int64
@@ -105,7 +106,7 @@
 	found int64
 }
 
-// shortfallFor returns what is missing for a reservation, under a new number.
+// shortfallFor returns the tokens missing for a reservation, under a new seq.
 func (s *Spender) shortfallFor(budget string, tokens int64, ahead time.Duration) shortfall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,13 +116,13 @@
 	return shortfall{
 		seq:   p.seq,
 		need:  max(tokens-free, 0),
-		ahead: int64(p.perSecond * ahead.Seconds()),
+		ahead: int64(p.demandRate * ahead.Seconds()),
 		found: free,
 	}
 }
 
-// recall returns every token of a budget that is not set aside, and tells the
-// usage of all its lots.
+// recall returns every unreserved token of a budget to its holders and returns
+// the usages of all its lots.
 func (s *Spender) recall(budget string) []*budgetpb.Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +130,7 @@
 	if p == nil {
 		return nil
 	}
-	p.giveBack(0)
+	p.returnSurplus(0)
 	s.active[budget] = p
 	usages := make([]*budgetpb.Usage, 0, len(p.lots))
 	for _, l := range p.lots {
@@ -148,50 +149,51 @@
 	}
 }
 
-// reports gathers, by holder, the usage not told yet.
+// reports holds, by target, the usages that have not been reported yet.
 type reports map[reportTarget][]*budgetpb.Usage
 
-// reportTarget says who takes the report of a lot.
+// reportTarget names the instances that accept the report of a lot: the holder,
+// or its witness once the holder is silent.
 type reportTarget struct{ holder, witness string }
 
-// tick ends one measuring interval of the given length: demand is smoothed,
-// surplus is returned, and what has not been reported is gathered.
+// tick ends a measuring interval of the given length: it updates the demand rates,
+// returns surplus tokens, and returns the usages that have not been reported.
 func (s *Spender) tick(ahead, interval time.Duration) reports {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := reports{}
 	for _, budget := range sortedKeys(s.active) {
 		p := s.active[budget]
-		p.smooth(interval)
-		keep := int64(p.perSecond * ahead.Seconds())
-		if s.stopping || p.idle >= idleTicksBeforeReturn {
+		p.smoothDemand(interval)
+		keep := int64(p.demandRate * ahead.Seconds())
+		if s.stopping || p.idleTicks >= idleTicksBeforeReturn {
 			keep = 0
 		}
-		p.giveBack(keep + keep/2)
-		s.collect(budget, p, out)
-		if p.quiet() {
+		p.returnSurplus(keep + keep/2)
+		s.appendUnreported(budget, p, out)
+		if p.inactive() {
 			delete(s.active, budget)
 		}
 	}
 	return out
 }
 
-func (s *Spender) collect(budget string, p *position, out reports) {
+func (s *Spender) appendUnreported(budget string, p *position, out reports) {
 	for _, l := range p.lots {
-		if l.dirty() {
+		if l.unreported() {
 			target := reportTarget{holder: l.holder, witness: l.witness}
 			out[target] = append(out[target], s.usage(budget, l))
 		}
 	}
 }
 
-// reported notes that usages have been taken, and which grants are recorded
-// for good. What has changed since stays to be reported.
-func (s *Spender) reported(usages []*budgetpb.Usage, settled []string) {
+// markReported records which usages were accepted, and drops the lots whose
+// grants are settled. Changes since the report was made remain to be reported.
+func (s *Spender) markReported(usages []*budgetpb.Usage, settled []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range usages {
-		if l := s.find(u.Budget, u.Grant); l != nil {
+		if l := s.findLot(u.Budget, u.Grant); l != nil {
 			l.reportedUsed = max(l.reportedUsed, u.Used)
 			l.reportedReturned = max(l.reportedReturned, u.Returned)
 		}
@@ -199,13 +201,13 @@
 	for _, u := range usages {
 		for _, grant := range settled {
 			if u.Grant == grant {
-				s.drop(u.Budget, grant)
+				s.dropLot(u.Budget, grant)
 			}
 		}
 	}
 }
 
-func (s *Spender) find(budget, grant string) *lot {
+func (s *Spender) findLot(budget, grant string) *lot {
 	p := s.positions[budget]
 	if p == nil {
 		return nil
@@ -218,9 +220,9 @@
 	return nil
 }
 
-// drop forgets a lot whose grant is settled in the ledger. A grant settles only
-// when every token is accounted for, so no free token is lost or kept here.
-func (s *Spender) drop(budget, grant string) {
+// dropLot removes a lot whose grant is settled in the ledger. A grant is settled
+// only once every token is accounted for, so the lot has no free tokens left.
+func (s *Spender) dropLot(budget, grant string) {
 	p := s.positions[budget]
 	for i, l := range p.lots {
 		if l.grant == grant && l.reserved == 0 {
@@ -231,9 +233,9 @@
 	}
 }
 
-// lotsOf returns the budgets and grants that were allocated by a holder and are
-// not finished, for settlement when that holder is gone.
-func (s *Spender) lotsOf(holder string) []*budgetpb.Usage {
+// usagesFor returns the usages of all lots allocated by a holder, to be settled
+// when that holder is silent.
+func (s *Spender) usagesFor(holder string) []*budgetpb.Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var usages []*budgetpb.Usage
@@ -247,7 +249,7 @@
 	return usages
 }
 
-// holders returns the incarnations that this spender has lots of.
+// holders returns the incarnations that allocated this spender's lots.
 func (s *Spender) holders() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,8 +266,8 @@
 	return out
 }
 
-// stop makes every further reservation fail and every tick return all tokens
-// that are not set aside.
+// stop makes every further reservation fail and every tick return all unreserved
+// tokens.
 func (s *Spender) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -275,7 +277,7 @@
 	}
 }
 
-// Free returns the tokens of a budget at hand.
+// Free returns the number of unreserved tokens of a budget at this instance.
 func (s *Spender) Free(budget string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -285,7 +287,8 @@
 	return 0
 }
 
-// Outstanding returns all tokens set aside for running requests.
+// Outstanding returns the number of tokens reserved for running requests, over
+// all budgets.
 func (s *Spender) Outstanding() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/budget/stop.go
+++ b/pkg/budget/stop.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// closeSurrendered closes grants that could not be closed in the ledger yet.
-func (n *Node) closeSurrendered(ctx context.Context) {
+// retryPendingCloses closes removed grants that could not be closed in the ledger
+// before.
+func (n *Node) retryPendingCloses(ctx context.Context) {
 	n.mu.Lock()
-	waiting := n.unclosed
-	n.unclosed = nil
+	pending := n.pendingClose
+	n.pendingClose = nil
 	n.mu.Unlock()
-	for _, g := range waiting {
+	for _, g := range pending {
 		n.closeGrant(ctx, g)
 	}
 }
 
-// Stop returns every token for a planned stop. Requests must have ended. It
-// reports whether the ledger has it all; if not, what is missing stays in doubt
-// until the spenders' evidence and this instance's word are in.
+// Stop returns all tokens on a planned stop; all requests must have ended. It
+// reports whether all grants are closed in the ledger. If not, their tokens stay
+// in doubt until the usages of the spenders and of this instance are recorded.
 func (n *Node) Stop(ctx context.Context) bool {
 	n.spender.stop()
 	n.sendReports(ctx, time.Second)
-	for _, id := range n.holder.open() {
-		n.closeDown(ctx, id)
+	for _, id := range n.holder.openGrantIDs() {
+		n.returnGrant(ctx, id)
 	}
-	n.closeSurrendered(ctx)
-	n.flushEvidence(ctx)
+	n.retryPendingCloses(ctx)
+	n.flushUsages(ctx)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.unclosed) == 0
+	return len(n.pendingClose) == 0
 }
 
-func (n *Node) closeDown(ctx context.Context, id string) {
-	g := n.holder.find(id)
+func (n *Node) returnGrant(ctx context.Context, id string) {
+	g := n.holder.openGrantByID(id)
 	if g == nil {
 		return
 	}
-	n.recallFor(ctx, g.budget, "")
-	if n.holder.surrender(id) == nil {
+	n.recallBudget(ctx, g.budget, "")
+	if n.holder.removeGrant(id) == nil {
 		return
 	}
 	n.closeGrant(ctx, g)
--- a/pkg/budget/takeover.go
+++ b/pkg/budget/takeover.go
@@ -6,58 +6,59 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// takeOver reclaims the unsigned rest of the grants of holders that are silent.
-// A holder that is only paused or cut off is not harmed: it holds what is
-// signed, and that stays counted.
-func (n *Node) takeOver(ctx context.Context) {
+// takeOverFromSilentHolders reclaims the unsigned rest of the grants of silent
+// holders. This is safe if a holder is only paused or partitioned: it can only
+// allocate signed tokens, and the grant still holds those.
+func (n *Node) takeOverFromSilentHolders(ctx context.Context) {
 	for _, holder := range n.witness.holders() {
 		if !n.fleet.Silent(holder) {
-			n.markTaken(holder, false)
+			n.setReclaimed(holder, false)
 			continue
 		}
-		if n.markTaken(holder, true) {
+		if n.setReclaimed(holder, true) {
 			continue
 		}
 		if !n.reclaimFrom(ctx, holder) {
-			n.markTaken(holder, false)
+			n.setReclaimed(holder, false)
 		}
 	}
 }
 
-// markTaken sets whether a holder's grants are reclaimed and returns what was set.
-func (n *Node) markTaken(holder string, taken bool) (before bool) {
+// setReclaimed sets whether a holder's grants are reclaimed and returns the
+// previous value.
+func (n *Node) setReclaimed(holder string, reclaimed bool) (before bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	before = n.taken[holder]
-	n.taken[holder] = taken
+	before = n.reclaimedHolders[holder]
+	n.reclaimedHolders[holder] = reclaimed
 	return before
 }
 
-// reclaimFrom looks through all shards, for rows too that this witness has
-// never signed: of those nothing was allocated. It reports whether all shards
-// could be looked through.
+// reclaimFrom reclaims a holder's grants in all shards, including grants that name
+// this instance as witness but that it has never signed: no token of those was
+// allocated on its signature. It reports whether all shards could be processed.
 func (n *Node) reclaimFrom(ctx context.Context, holder string) bool {
-	known := n.witness.grantsOf(holder)
+	grantIDs := n.witness.grantIDsOf(holder)
 	for shard := 0; shard < n.cfg.Shards; shard++ {
 		if n.reclaimShard(ctx, shard, holder) != nil {
 			return false
 		}
 	}
-	n.witness.closeAll(known)
+	n.witness.closeGrants(grantIDs)
 	return true
 }
 
-// reclaimed is one grant closed by its witness.
-type reclaimed struct {
+// reclaimedGrant is a grant that this instance closed as its witness.
+type reclaimedGrant struct {
 	id, budget string
 	signed     int64
-	evidence   map[string]ledger.Usage
+	usages     map[string]ledger.Usage
 }
 
 func (n *Node) reclaimShard(ctx context.Context, shard int, holder string) error {
-	var done []reclaimed
+	var closed []reclaimedGrant
 	err := n.ledger.Update(ctx, shard, func(s *ledger.Shard) {
-		done = done[:0]
+		closed = closed[:0]
 		for _, budget := range sortedKeys(s.Budgets) {
 			b := s.Budgets[budget]
 			for _, id := range sortedKeys(b.Grants) {
@@ -65,9 +66,9 @@
 				if g.Holder != holder || g.Witness != n.cfg.Self || g.Closed {
 					continue
 				}
-				signed, evidence := n.witness.closeOne(id, budget, holder)
-				if s.Reclaim(budget, id, n.cfg.Self, signed, evidence) == nil {
-					done = append(done, reclaimed{id: id, budget: budget, signed: signed, evidence: evidence})
+				signed, usages := n.witness.closeGrant(id, budget, holder)
+				if s.Reclaim(budget, id, n.cfg.Self, signed, usages) == nil {
+					closed = append(closed, reclaimedGrant{id: id, budget: budget, signed: signed, usages: usages})
 				}
 			}
 		}
@@ -75,9 +76,9 @@
 	if err != nil {
 		return err
 	}
-	for _, r := range done {
-		n.collector.add(r.id, r.budget, r.evidence)
-		n.witness.strip(r.id)
+	for _, r := range closed {
+		n.collector.addGrant(r.id, r.budget, r.usages)
+		n.witness.dropUsages(r.id)
 		n.observer.GrantReclaimed(r.budget, r.id, holder, r.signed)
 	}
 	return nil
--- a/pkg/budget/tick.go
+++ b/pkg/budget/tick.go
@@ -8,30 +8,30 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// Tick does the work that no request waits for: reports and returns tokens,
-// keeps signatures and draws ahead of demand, records spending, and takes over
-// from holders that have gone silent. It is called about once a second.
+// Tick does the background work: it reports usages and returns tokens, keeps
+// signatures and draws ahead of demand, records used tokens, and takes over from
+// holders that have become silent. It is called about once a second.
 func (n *Node) Tick(ctx context.Context) {
-	interval, foldDue := n.pace()
+	interval, recordDue := n.startTick()
 	n.sendReports(ctx, interval)
-	n.tickHolder(ctx, interval, foldDue)
-	n.closeSurrendered(ctx)
-	n.takeOver(ctx)
-	n.settlePastSilent(ctx)
-	n.flushEvidence(ctx)
+	n.tickHolder(ctx, interval, recordDue)
+	n.retryPendingCloses(ctx)
+	n.takeOverFromSilentHolders(ctx)
+	n.settleForSilentHolders(ctx)
+	n.flushUsages(ctx)
 }
 
-func (n *Node) pace() (interval time.Duration, foldDue bool) {
+func (n *Node) startTick() (interval time.Duration, recordDue bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
 	interval = max(now.Sub(n.lastTick), time.Millisecond)
 	n.lastTick = now
-	foldDue = now.Sub(n.lastFold) >= n.cfg.FoldEvery
-	if foldDue {
-		n.lastFold = now
+	recordDue = now.Sub(n.lastRecord) >= n.cfg.RecordInterval
+	if recordDue {
+		n.lastRecord = now
 	}
-	return interval, foldDue
+	return interval, recordDue
 }
 
 func (n *Node) sendReports(ctx context.Context, interval time.Duration) {
@@ -41,7 +41,8 @@
 	}
 }
 
-// sendReport tells the holder, or its witness once the holder is silent.
+// sendReport reports usages to the holder, or to its witness once the holder is
+// silent.
 func (n *Node) sendReport(ctx context.Context, target reportTarget, usages []*budgetpb.Usage) {
 	req := &budgetpb.ReportRequest{Spender: n.cfg.Self, Usages: usages}
 	reply, err := n.reportTo(ctx, target.holder, req)
@@ -51,8 +52,8 @@
 	if err != nil {
 		return
 	}
-	n.takeReply(usages, reply)
-	if len(reply.Unknown) > 0 && n.directDue(target.holder) {
+	n.mergeReportReply(usages, reply)
+	if len(reply.Unknown) > 0 && n.directSettleDue(target.holder) {
 		n.settleDirect(ctx, usages)
 	}
 }
@@ -66,60 +67,60 @@
 	return n.peers.Report(ctx, to, req)
 }
 
-func (n *Node) takeReply(usages []*budgetpb.Usage, reply *budgetpb.ReportReply) {
+func (n *Node) mergeReportReply(usages []*budgetpb.Usage, reply *budgetpb.ReportReply) {
 	unknown := map[string]bool{}
 	for _, grant := range reply.Unknown {
 		unknown[grant] = true
 	}
-	var taken []*budgetpb.Usage
+	var accepted []*budgetpb.Usage
 	budgets := map[string]string{}
 	for _, u := range usages {
 		budgets[u.Grant] = u.Budget
 		if !unknown[u.Grant] {
-			taken = append(taken, u)
+			accepted = append(accepted, u)
 		}
 	}
-	n.spender.reported(taken, reply.Settled)
+	n.spender.markReported(accepted, reply.Settled)
 	for _, l := range reply.Lots {
 		n.spender.Merge(budgets[l.Grant], []*budgetpb.Lot{l})
 	}
 }
 
-func (n *Node) tickHolder(ctx context.Context, interval time.Duration, foldDue bool) {
+func (n *Node) tickHolder(ctx context.Context, interval time.Duration, recordDue bool) {
 	next := n.chooseWitness()
-	plan := n.holder.plan(interval, foldDue, func(witness string) bool {
+	plan := n.holder.plan(interval, recordDue, func(witness string) bool {
 		return witness != next && (witness == "" || n.fleet.Silent(witness))
 	})
-	for _, witness := range sortedKeys(plan.sign) {
-		_ = n.sign(ctx, witness, plan.sign[witness])
+	for _, witness := range sortedKeys(plan.statesByWitness) {
+		_ = n.sign(ctx, witness, plan.statesByWitness[witness])
 	}
-	n.renameWitness(ctx, plan.renew, next)
-	for _, shard := range sortedKeys(plan.draw) {
-		n.bringUpToDate(ctx, shard, plan.draw[shard])
+	n.nameWitness(ctx, plan.replaceWitness, next)
+	for _, shard := range sortedKeys(plan.updateByShard) {
+		n.updateShard(ctx, shard, plan.updateByShard[shard])
 	}
 }
 
-// renameWitness names another witness for grants, one write for each shard.
-func (n *Node) renameWitness(ctx context.Context, grants []*grant, next string) {
+// nameWitness names another witness for grants, with one write for each shard.
+func (n *Node) nameWitness(ctx context.Context, grants []*grant, next string) {
 	byShard := map[int][]*grant{}
 	for _, g := range grants {
 		shard := ledger.ShardOf(g.budget, n.cfg.Shards)
 		byShard[shard] = append(byShard[shard], g)
 	}
 	for _, shard := range sortedKeys(byShard) {
-		_ = n.write(ctx, shard, func() (updates []ledgerUpdate) {
+		_ = n.writeShard(ctx, shard, func() (updates []ledgerUpdate) {
 			for _, g := range byShard[shard] {
-				updates = append(updates, n.holder.renameUpdate(g, next))
+				updates = append(updates, n.holder.nameWitnessUpdate(g, next))
 			}
 			return updates
 		})
 	}
 }
 
-// bringUpToDate records spending and draws ahead; if it finds that others lack
-// tokens, it gives back what can be spared by a second write.
-func (n *Node) bringUpToDate(ctx context.Context, shard int, grants []*grant) {
-	err := n.write(ctx, shard, func() (updates []ledgerUpdate) {
+// updateShard records used tokens and draws ahead. If the ledger shows a shortage
+// of other holders, it returns spare tokens in a second write.
+func (n *Node) updateShard(ctx context.Context, shard int, grants []*grant) {
+	err := n.writeShard(ctx, shard, func() (updates []ledgerUpdate) {
 		for _, g := range grants {
 			updates = append(updates, n.holder.tickUpdate(g))
 		}
@@ -129,14 +130,14 @@
 		return
 	}
 	for _, g := range grants {
-		if n.holder.lacking(g) {
-			n.recallFor(ctx, g.budget, "")
+		if n.holder.needsRecall(g) {
+			n.recallBudget(ctx, g.budget, "")
 		}
 	}
-	_ = n.write(ctx, shard, func() (updates []ledgerUpdate) {
+	_ = n.writeShard(ctx, shard, func() (updates []ledgerUpdate) {
 		for _, g := range grants {
-			if w, spare := n.holder.offerUpdate(g); spare {
-				updates = append(updates, w)
+			if update, ok := n.holder.returnUpdate(g); ok {
+				updates = append(updates, update)
 			}
 		}
 		return updates
--- a/pkg/budget/update.go
+++ b/pkg/budget/update.go
@@ -8,240 +8,245 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// ledgerUpdate is one line of a holder's write to a ledger shard.
+// ledgerUpdate is the update of one grant in a holder's write to a ledger shard.
 type ledgerUpdate struct {
-	id      string
-	budget  string
-	witness string
-	target  int64 // drawn, absolute
-	need    int64 // tokens that must be had, of the difference
-	want    int64 // tokens wanted beyond that
-	used    int64
-	signed  int64
-	floor   int64 // the least that drawn may be lowered to
-	ahead   int64 // tokens that should be free or held, or others are asked
-	settle  bool  // an offer is made or not settled yet
-	fresh   bool
-	rename  bool
+	id           string
+	budget       string
+	witness      string
+	drawn        int64 // grant.drawn before the write; makes the target of a draw absolute
+	need         int64 // tokens that must be drawn
+	extra        int64 // tokens to draw beyond need
+	used         int64
+	signed       int64
+	minDrawn     int64 // lower bound of Drawn when tokens are returned
+	minFree      int64 // if fewer tokens are free, a shortage is recorded
+	settleReturn bool  // a return of tokens is made or not settled yet
+	unconfirmed  bool
+	nameWitness  bool
 }
 
-// ledgerResult is what a write to a ledger shard found for one line.
+// ledgerResult is the result of one ledgerUpdate.
 type ledgerResult struct {
 	update ledgerUpdate
 	drawn  int64
 	free   int64
-	// wanted is what others lack.
-	wanted int64
-	err    error
-	row    *ledger.Grant
+	// shortage is the budget's shortage after the update.
+	shortage int64
+	err      error
+	recorded *ledger.Grant
 }
 
-// keepAhead is how much of its demand a holder wants within reach; when it has
-// less and the ledger has none it asks the others.
-const keepAhead = 15 * time.Second
+// shortageThreshold is the period of demand that a holder's unallocated tokens
+// and the ledger's free tokens should last for. If they do not, the holder
+// records a shortage in the ledger.
+const shortageThreshold = 15 * time.Second
 
-// keepWhenWanted is how much of its demand a holder keeps when others
-// lack tokens. Near exhaustion tokens are better in the ledger, where every
-// side of a partition finds them.
-const keepWhenWanted = 3 * time.Second
+// keepDuringShortage is the period of demand for which a holder keeps tokens
+// during a shortage. Near exhaustion tokens are more useful in the ledger, where
+// every side of a network partition can draw them.
+const keepDuringShortage = 3 * time.Second
 
-func (h *Holder) updateOf(g *grant, need int64) ledgerUpdate {
-	horizon := int64(g.perSecond * h.cfg.Horizon.Seconds())
+func (h *Holder) newUpdate(g *grant, need int64) ledgerUpdate {
+	target := int64(g.demandRate * h.cfg.DrawAhead.Seconds())
 	return ledgerUpdate{
-		id:      g.id,
-		budget:  g.budget,
-		witness: g.witness,
-		target:  g.drawn,
-		need:    need,
-		want:    max(horizon-g.rest(), 0),
-		used:    g.used,
-		ahead:   max(int64(g.perSecond*keepAhead.Seconds())-g.rest(), 0),
-		settle:  g.offered > 0,
-		floor:   math.MaxInt64,
-		fresh:   g.fresh,
+		id:           g.id,
+		budget:       g.budget,
+		witness:      g.witness,
+		drawn:        g.drawn,
+		need:         need,
+		extra:        max(target-g.unallocated(), 0),
+		used:         g.used,
+		minFree:      max(int64(g.demandRate*shortageThreshold.Seconds())-g.unallocated(), 0),
+		settleReturn: g.pendingReturn > 0,
+		minDrawn:     math.MaxInt64,
+		unconfirmed:  g.unconfirmed,
 	}
 }
 
-// drawUpdate makes the line that gets need more tokens for a budget.
+// drawUpdate returns the update that draws need more tokens of a budget. It makes
+// a new grant if the budget has no open one.
 func (h *Holder) drawUpdate(budget, witness string, need int64) ledgerUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b := h.budgets[budget]
-	if b.open == nil {
-		b.open = &grant{
+	if b.openGrant == nil {
+		b.openGrant = &grant{
 			id:           h.newGrantID(),
 			budget:       budget,
 			witness:      witness,
-			fresh:        true,
-			accounts:     map[string]*account{},
+			unconfirmed:  true,
+			spenders:     map[string]*spenderState{},
 			unsentUsages: map[string]bool{},
 		}
-		h.byGrant[b.open.id] = b.open
+		h.grants[b.openGrant.id] = b.openGrant
 	}
-	w := h.updateOf(b.open, need)
-	// Whoever has to draw at all draws as much as one draw may: what is drawn
-	// lasts through an outage of the store, and is within reach of the others
-	// by allocation. The countersigned part, not this, is what a crash strands.
-	w.want = math.MaxInt64 / 2
-	return w
+	u := h.newUpdate(b.openGrant, need)
+	// A holder that has to draw draws as much as one draw may. Drawn tokens last
+	// through an outage of the store, and other instances can get them by
+	// allocation. A crash leaves only the countersigned part in doubt, not all that
+	// was drawn.
+	u.extra = math.MaxInt64 / 2
+	return u
 }
 
-// tickUpdate makes the line of one tick: spending is recorded, and more is drawn
-// when less than half the horizon is left.
+// tickUpdate returns the update of one tick: it records used tokens, and draws
+// more if the unallocated tokens do not cover the demand of half of DrawAhead.
 func (h *Holder) tickUpdate(g *grant) ledgerUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	w := h.updateOf(g, 0)
-	if g.rest() > int64(g.perSecond*h.cfg.Horizon.Seconds())/2 {
-		w.want = 0
+	u := h.newUpdate(g, 0)
+	if g.unallocated() > int64(g.demandRate*h.cfg.DrawAhead.Seconds())/2 {
+		u.extra = 0
 	}
-	return w
+	return u
 }
 
-// renameUpdate makes the line that names another witness. From here on no
-// signature counts until the ledger names the new one: it will answer for what
-// is signed now, and a late signature of the old one would let more be
-// allocated than the new one reclaims down to.
-func (h *Holder) renameUpdate(g *grant, witness string) ledgerUpdate {
+// nameWitnessUpdate returns the update that names another witness. Signatures are
+// ignored from now on until the ledger names the new witness. The new witness
+// relies on the total signed now, and a late signature of the old one would let
+// this holder allocate tokens that the new one frees when it reclaims the grant.
+func (h *Holder) nameWitnessUpdate(g *grant, witness string) ledgerUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g.renaming = true
-	w := h.updateOf(g, 0)
-	w.want = 0
-	w.rename = true
-	w.witness = witness
-	w.signed = g.signed
-	return w
+	g.replacingWitness = true
+	u := h.newUpdate(g, 0)
+	u.extra = 0
+	u.nameWitness = true
+	u.witness = witness
+	u.signed = g.signed
+	return u
 }
 
-// lacking reports whether others lack more of a budget than is at hand here.
-func (h *Holder) lacking(g *grant) bool {
+// needsRecall reports whether the shortage of a grant's budget exceeds the
+// unallocated tokens of the grant.
+func (h *Holder) needsRecall(g *grant) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return g.wanted > g.rest()
+	return g.shortage > g.unallocated()
 }
 
-// offerUpdate makes the line that gives back what others want and this holder can
-// spare: what is not allocated, beyond a few seconds of its own demand. What is
-// offered counts as gone until the write is settled, since a signature on it
-// meanwhile would let it be spent here and drawn elsewhere.
-func (h *Holder) offerUpdate(g *grant) (ledgerUpdate, bool) {
+// returnUpdate returns the update that returns spare tokens during a shortage:
+// unallocated tokens beyond keepDuringShortage of the holder's own demand. They do
+// not count as part of the grant until the write is settled, since a signature on
+// them in the meantime would let them be spent here and drawn by another holder.
+func (h *Holder) returnUpdate(g *grant) (ledgerUpdate, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	spare := min(g.rest()-int64(g.perSecond*keepWhenWanted.Seconds()), g.wanted)
-	if spare <= 0 || g.fresh || h.byGrant[g.id] != g {
+	spare := min(g.unallocated()-int64(g.demandRate*keepDuringShortage.Seconds()), g.shortage)
+	if spare <= 0 || g.unconfirmed || h.grants[g.id] != g {
 		return ledgerUpdate{}, false
 	}
-	g.offered += spare
+	g.pendingReturn += spare
 	g.drawn -= spare
-	// The witness may have signed more than is kept. That is no harm: a closed
-	// grant withholds no more than was drawn.
+	// The witness may have signed more than remains. This is harmless, because a
+	// closed grant holds no more than was drawn.
 	g.signed = min(g.signed, g.drawn+g.returned)
-	w := h.updateOf(g, 0)
-	w.want, w.ahead = 0, 0
-	w.settle = true
-	w.floor = g.drawn
-	return w, true
+	u := h.newUpdate(g, 0)
+	u.extra, u.minFree = 0, 0
+	u.settleReturn = true
+	u.minDrawn = g.drawn
+	return u, true
 }
 
-// apply makes one line's changes to a shard. How much is drawn is decided on
-// the committed state: the need if it is free, and beyond it at most a part of
-// what is free, so that others find something too.
-func (w ledgerUpdate) apply(shard *ledger.Shard, self string, poolShare int64) ledgerResult {
-	result := ledgerResult{update: w}
-	b := shard.Budgets[w.budget]
+// apply applies the update to a shard. The amount drawn depends on the committed
+// state: the need, if it is free, and beyond it at most a fraction of what is
+// free, so that other holders can draw too.
+func (u ledgerUpdate) apply(shard *ledger.Shard, self string, extraDrawDivisor int64) ledgerResult {
+	result := ledgerResult{update: u}
+	b := shard.Budgets[u.budget]
 	if b == nil {
 		result.err = ledger.ErrUnknownBudget
 		return result
 	}
-	result.err = w.change(shard, b, self, poolShare)
+	result.err = u.applyChanges(shard, b, self, extraDrawDivisor)
 	result.free = b.Free()
-	result.wanted = b.Shortage
-	if g := b.Grants[w.id]; g != nil {
+	result.shortage = b.Shortage
+	if g := b.Grants[u.id]; g != nil {
 		result.drawn = g.Drawn
 		copied := *g
-		result.row = &copied
+		result.recorded = &copied
 	}
 	return result
 }
 
-func (w ledgerUpdate) change(shard *ledger.Shard, b *ledger.Budget, self string, poolShare int64) error {
-	if !w.fresh {
-		if err := shard.RecordUsed(w.budget, w.id, w.used); err != nil {
+func (u ledgerUpdate) applyChanges(shard *ledger.Shard, b *ledger.Budget, self string, extraDrawDivisor int64) error {
+	if !u.unconfirmed {
+		if err := shard.RecordUsed(u.budget, u.id, u.used); err != nil {
 			return err
 		}
 	}
-	if w.rename {
-		if err := shard.NameWitness(w.budget, w.id, w.witness, w.signed); err != nil {
+	if u.nameWitness {
+		if err := shard.NameWitness(u.budget, u.id, u.witness, u.signed); err != nil {
 			return err
 		}
 	}
-	if w.settle {
-		if err := shard.ReturnTokens(w.budget, w.id, w.floor); err != nil {
+	if u.settleReturn {
+		if err := shard.ReturnTokens(u.budget, u.id, u.minDrawn); err != nil {
 			return err
 		}
 	}
 	if b.Free() >= b.Shortage {
 		b.Shortage = 0
 	}
-	if missing := max(w.need, w.ahead) - b.Free(); missing > 0 {
-		shard.NoteShortage(w.budget, missing)
+	if missing := max(u.need, u.minFree) - b.Free(); missing > 0 {
+		shard.NoteShortage(u.budget, missing)
 	}
-	extra := min(w.want, max(b.Free()-w.need, 0)/poolShare)
-	if w.need+extra <= 0 {
+	allowance := min(u.extra, max(b.Free()-u.need, 0)/extraDrawDivisor)
+	if u.need+allowance <= 0 {
 		return nil
 	}
-	_, err := shard.Draw(w.budget, w.id, self, w.witness, w.target+w.need+extra, w.fresh)
+	_, err := shard.Draw(u.budget, u.id, self, u.witness, u.drawn+u.need+allowance, u.unconfirmed)
 	return err
 }
 
-// adopt takes over what a write found. It returns the grants found closed.
-func (h *Holder) adopt(results []ledgerResult) []ledgerResult {
+// mergeResults merges the results of a write into the grants. It returns the
+// results of grants that are closed or gone in the ledger.
+func (h *Holder) mergeResults(results []ledgerResult) []ledgerResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var lost []ledgerResult
 	for _, r := range results {
-		g := h.byGrant[r.update.id]
+		g := h.grants[r.update.id]
 		if g == nil {
 			continue
 		}
 		closed := errors.Is(r.err, ledger.ErrGrantClosed)
-		if closed || (r.err != nil && !g.fresh) {
+		if closed || (r.err != nil && !g.unconfirmed) {
 			lost = append(lost, r)
 			continue
 		}
-		if r.row == nil {
+		if r.recorded == nil {
 			continue
 		}
-		g.fresh = false
-		g.adoptDrawn(r)
-		g.wanted = r.wanted
-		g.folded = max(g.folded, r.update.used)
-		if r.update.rename {
-			h.rewitness(g, r.update.witness)
+		g.unconfirmed = false
+		g.mergeDrawn(r)
+		g.shortage = r.shortage
+		g.recordedUsed = max(g.recordedUsed, r.update.used)
+		if r.update.nameWitness {
+			h.setWitness(g, r.update.witness)
 		}
 	}
 	return lost
 }
 
-// adoptDrawn takes over what the ledger says is drawn. Writes to a shard come
-// one at a time, so the row is the truth; but while an offer is not settled an
-// older write may still take effect, and only a write that settles it may raise
-// drawn again.
-func (g *grant) adoptDrawn(r ledgerResult) {
-	if g.offered > 0 && !r.update.settle {
+// mergeDrawn sets drawn to the ledger's value. The value is current, since writes
+// to a shard happen one at a time. But while a return of tokens is not settled, an
+// older write of it may still take effect, and only a write that settles the
+// return may raise drawn again.
+func (g *grant) mergeDrawn(r ledgerResult) {
+	if g.pendingReturn > 0 && !r.update.settleReturn {
 		return
 	}
 	g.drawn = r.drawn
-	g.offered = 0
+	g.pendingReturn = 0
 }
 
-// rewitness makes another instance the grant's witness. The new one must learn
-// every usage, since it is the one to give evidence.
-func (h *Holder) rewitness(g *grant, witness string) {
+// setWitness makes another instance the grant's witness. All usages have to be
+// sent to the new witness, because it records them if it reclaims the grant.
+func (h *Holder) setWitness(g *grant, witness string) {
 	g.witness = witness
-	g.renaming = false
-	for spender := range g.accounts {
+	g.replacingWitness = false
+	for spender := range g.spenders {
 		g.unsentUsages[spender] = true
 	}
 }
--- a/pkg/budget/witness.go
+++ b/pkg/budget/witness.go
@@ -8,18 +8,18 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// signedGrant is what a witness knows of a grant it countersigns.
+// signedGrant is what a witness knows of a grant that it countersigns.
 type signedGrant struct {
 	id, budget, holder string
 	signed             int64
 	closed             bool
-	evidence           map[string]ledger.Usage
+	usages             map[string]ledger.Usage
 }
 
-// Witness countersigns other instances' grants. It never unsigns and, once it
-// has closed a grant, never signs it again; the closing comes before the write
-// that reclaims the rest, so a holder that wakes late gets no signature that
-// the reclaim did not count.
+// Witness countersigns other instances' grants. It never lowers a signed total
+// and, once it has closed a grant, never signs it again. It closes a grant before
+// the write that reclaims the rest, so a holder that resumes late gets no
+// signature that the reclaim did not take into account.
 type Witness struct {
 	mu     sync.Mutex
 	grants map[string]*signedGrant
@@ -28,7 +28,7 @@
 // NewWitness returns a witness that has signed nothing.
 func NewWitness() *Witness { return &Witness{grants: map[string]*signedGrant{}} }
 
-// sign countersigns as asked and remembers the usages told.
+// sign countersigns the requested totals and records the reported usages.
 func (w *Witness) sign(req *budgetpb.SignRequest) *budgetpb.SignReply {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,10 +37,10 @@
 		g := w.grants[state.Grant]
 		if g == nil {
 			g = &signedGrant{
-				id:       state.Grant,
-				budget:   state.Budget,
-				holder:   req.Holder,
-				evidence: map[string]ledger.Usage{},
+				id:     state.Grant,
+				budget: state.Budget,
+				holder: req.Holder,
+				usages: map[string]ledger.Usage{},
 			}
 			w.grants[state.Grant] = g
 		}
@@ -55,17 +55,17 @@
 	}
 	g.signed = max(g.signed, state.UpTo)
 	for _, u := range state.Usages {
-		mergeEvidence(g.evidence, u)
+		mergeUsage(g.usages, u)
 	}
 	return &budgetpb.Signature{Grant: g.id, Signed: g.signed}
 }
 
-func mergeEvidence(into map[string]ledger.Usage, u *budgetpb.Usage) {
-	told := ledger.Usage{Used: u.Used, Returned: u.Returned}
-	into[u.Spender] = into[u.Spender].Merge(told)
+func mergeUsage(into map[string]ledger.Usage, u *budgetpb.Usage) {
+	reported := ledger.Usage{Used: u.Used, Returned: u.Returned}
+	into[u.Spender] = into[u.Spender].Merge(reported)
 }
 
-// holders returns the incarnations with grants that are not closed here.
+// holders returns the incarnations whose grants this witness has not closed.
 func (w *Witness) holders() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,33 +81,33 @@
 	return out
 }
 
-// closeOne stops signing one grant, known or not, and returns how far it is
-// signed and what its spenders told.
-func (w *Witness) closeOne(grantID, budget, holder string) (int64, map[string]ledger.Usage) {
+// closeGrant closes a grant, whether known or not, so that it is not signed again.
+// It returns the signed total and the reported usages.
+func (w *Witness) closeGrant(grantID, budget, holder string) (int64, map[string]ledger.Usage) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	g := w.grants[grantID]
 	if g == nil {
-		g = &signedGrant{id: grantID, budget: budget, holder: holder, evidence: map[string]ledger.Usage{}}
+		g = &signedGrant{id: grantID, budget: budget, holder: holder, usages: map[string]ledger.Usage{}}
 		w.grants[grantID] = g
 	}
 	g.closed = true
-	return g.signed, maps.Clone(g.evidence)
+	return g.signed, maps.Clone(g.usages)
 }
 
-// strip drops what is known of a closed grant, but not that it is closed: its
-// holder may wake late and ask for a signature, and a witness that had
-// forgotten would sign tokens that the reclaim has given back.
-func (w *Witness) strip(grantID string) {
+// dropUsages drops the usages of a closed grant but keeps the grant marked as
+// closed: its holder may resume late and ask for a signature, and a witness
+// without the mark would sign tokens that the reclaim has freed.
+func (w *Witness) dropUsages(grantID string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if g := w.grants[grantID]; g != nil && g.closed {
-		g.evidence = nil
+		g.usages = nil
 	}
 }
 
-// grantsOf returns the ids of the grants known of a holder.
-func (w *Witness) grantsOf(holder string) []string {
+// grantIDsOf returns the ids of the known grants of a holder.
+func (w *Witness) grantIDsOf(holder string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var ids []string
@@ -119,13 +119,13 @@
 	return ids
 }
 
-// closeAll marks grants as closed after the ledger has been looked through for
-// them: those that were not found there are settled or have another witness.
-func (w *Witness) closeAll(ids []string) {
+// closeGrants marks grants as closed once all ledger shards have been searched for
+// them. Grants that were not found there are settled or have another witness.
+func (w *Witness) closeGrants(ids []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, id := range ids {
 		w.grants[id].closed = true
-		w.grants[id].evidence = nil
+		w.grants[id].usages = nil
 	}
 }
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -33,14 +33,14 @@
 
 budget=pkg/budget
 try witness-base pkg/ledger/ledger.go 's/g\.Signed = signed/g.Signed = 0/' $budget TestNewWitnessKeepsWhatTheOldOneSigned
-try signature-void-while-renaming $budget/holder.go 's/ \|\| g\.renaming \{/ {/' $budget TestLateSignatureOfTheOldWitnessIsVoid
+try signature-void-while-renaming $budget/holder.go 's/ \|\| g\.replacingWitness \{/ {/' $budget TestLateSignatureOfTheOldWitnessIsVoid
 try closed-is-remembered $budget/witness.go 's/if g\.closed \{/if false {/' $budget TestWitnessThatReclaimedSignsNoMore
 try reclaim-checks-witness pkg/ledger/ledger.go 's/if g\.Witness != witness \{/if false {/' pkg/ledger TestOnlyTheNamedWitnessReclaims
 try old-generation-changes-nothing pkg/ledger/ledger.go 's/generation <= s\.Generations\[service\]/false/' $budget TestReductionBelowGrantedGivesNothingNew
 try draw-within-free pkg/ledger/ledger.go 's/min\(target-g\.Drawn, b\.Free\(\)\)/target-g.Drawn/' $budget TestNoHistoryOverspends
 try absolute-draw-target pkg/ledger/ledger.go 's/min\(target-g\.Drawn, b\.Free\(\)\)/min(target-g.Drawn+100, b.Free()+100)/' $budget TestNoHistoryOverspends
 try allocate-only-signed $budget/grant.go 's/return g\.signed - g\.allocated/return g.drawn + g.returned - g.allocated/' $budget TestNoHistoryOverspends
-try settled-lots-stay-settled $budget/spender.go 's/if !s\.settled\[told\.Grant\] \{/if true {/' $budget TestNoHistoryOverspends
+try settled-lots-stay-settled $budget/spender.go 's/if !s\.settled\[received\.Grant\] \{/if true {/' $budget TestNoHistoryOverspends
 try give-back-has-a-floor pkg/ledger/ledger.go 's/min\(b\.Shortage, g\.Drawn-minDrawn\)/min(b.Shortage, g.Drawn)/' pkg/ledger TestRepeatedGiveBackGivesOnce
 try stored-records-are-left-out pkg/bill/journal.go 's/if !stored\[record\.Seq\] \{/if true {/' pkg/bill TestEachRequestIsBilledOnce
 try claim-stands pkg/claim/shard.go 's/present != nil \{/false {/' pkg/claim TestAtMostOneRequestOfAKeyRuns
