--- a/pkg/budget/fleetfake/calls.go
+++ b/pkg/budget/fleetfake/calls.go
@@ -9,20 +9,21 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// store is one node's way to the platform.
-type store struct{ m *Member }
-
-// maxUpdateTries bounds the conflicts of one update.
-const maxUpdateTries = 10
-
-// Update implements budget.Ledger with the store's faults.
-func (s store) Update(_ context.Context, shard int, change func(*ledger.Shard)) error {
-	f := s.m.fleet
-	s.m.busy++
-	defer func() { s.m.busy-- }()
-	for try := 0; try < maxUpdateTries; try++ {
+// storeClient is one instance's access to the platform's store.
+type storeClient struct{ instance *Instance }
+
+// maxUpdateAttempts bounds the attempts of one update after conflicting writes
+// and lost answers.
+const maxUpdateAttempts = 10
+
+// Update implements budget.Ledger and injects the store's faults.
+func (s storeClient) Update(_ context.Context, shard int, change func(*ledger.Shard)) error {
+	f := s.instance.fleet
+	s.instance.activeCalls++
+	defer func() { s.instance.activeCalls-- }()
+	for attempt := 0; attempt < maxUpdateAttempts; attempt++ {
 		if f.Faults.StoreDown {
-			return errFake
+			return errInjected
 		}
 		f.Reads++
 		read := f.shards[shard]
@@ -35,148 +36,149 @@
 		if err != nil {
 			return err
 		}
-		s.m.pause()
+		s.instance.maybePause()
 		if bytes.Equal(value, read) {
 			return nil
 		}
 		if f.Faults.StoreDown {
-			return errFake
+			return errInjected
 		}
 		if !bytes.Equal(f.shards[shard], read) {
 			continue // conflict
 		}
 		f.Writes++
 		f.shards[shard] = value
-		if f.Faults.StoreSlow && f.waiting {
-			return errFake
+		if f.Faults.StoreSlow && f.requestWaiting {
+			return errInjected
 		}
 		if f.rng.Float64() < f.Faults.LoseWriteAnswer {
-			continue // the client reads back, as platform.Update does
+			continue // the client reads the shard again, as store.Update does
 		}
 		return nil
 	}
-	return errFake
+	return errInjected
 }
 
-// peers is one node's way to the others.
-type peers struct{ m *Member }
+// peerClient is one instance's access to the other instances.
+type peerClient struct{ instance *Instance }
 
 func call[Req, Reply any](
-	p peers, to string, req Req, handle func(*budget.Node, context.Context, Req) (Reply, error),
+	p peerClient, to string, req Req, handle func(*budget.Node, context.Context, Req) (Reply, error),
 ) (Reply, error) {
 	var none Reply
-	f := p.m.fleet
-	p.m.busy++
-	defer func() { p.m.busy-- }()
-	p.m.pause()
-	target := f.find(to)
+	f := p.instance.fleet
+	p.instance.activeCalls++
+	defer func() { p.instance.activeCalls-- }()
+	p.instance.maybePause()
+	target := f.findInstance(to)
 	f.Messages++
-	if target == nil || !target.Up() || f.cut[[2]int{p.m.Place, target.Place}] || f.lost(f.Faults.LoseRequest) {
-		return none, errFake
+	if target == nil || !target.Up() || f.linksDown[[2]int{p.instance.Index, target.Index}] || f.messageLost(f.Faults.LoseRequest) {
+		return none, errInjected
 	}
-	target.busy++
-	defer func() { target.busy-- }()
+	target.activeCalls++
+	defer func() { target.activeCalls-- }()
 	reply, err := handle(target.Node, context.Background(), req)
-	if f.cut[[2]int{target.Place, p.m.Place}] || f.lost(f.Faults.LoseReply) {
-		return none, errFake
+	if f.linksDown[[2]int{target.Index, p.instance.Index}] || f.messageLost(f.Faults.LoseReply) {
+		return none, errInjected
 	}
 	return reply, err
 }
 
-func (f *Fleet) lost(probability float64) bool { return f.rng.Float64() < probability }
+func (f *Fleet) messageLost(probability float64) bool { return f.rng.Float64() < probability }
 
-func (f *Fleet) find(incarnation string) *Member {
-	for _, m := range f.Nodes {
-		if m.Incarnation == incarnation {
-			return m
+func (f *Fleet) findInstance(incarnation string) *Instance {
+	for _, inst := range f.Nodes {
+		if inst.Incarnation == incarnation {
+			return inst
 		}
 	}
 	return nil
 }
 
 // Allocate implements budget.Peers.
-func (p peers) Allocate(
+func (p peerClient) Allocate(
 	_ context.Context, to string, req *budgetpb.AllocateRequest,
 ) (*budgetpb.AllocateReply, error) {
 	return call(p, to, req, (*budget.Node).Allocate)
 }
 
 // Recall implements budget.Peers.
-func (p peers) Recall(_ context.Context, to string, req *budgetpb.RecallRequest) (*budgetpb.RecallReply, error) {
+func (p peerClient) Recall(_ context.Context, to string, req *budgetpb.RecallRequest) (*budgetpb.RecallReply, error) {
 	return call(p, to, req, (*budget.Node).Recall)
 }
 
 // Report implements budget.Peers.
-func (p peers) Report(_ context.Context, to string, req *budgetpb.ReportRequest) (*budgetpb.ReportReply, error) {
+func (p peerClient) Report(_ context.Context, to string, req *budgetpb.ReportRequest) (*budgetpb.ReportReply, error) {
 	return call(p, to, req, (*budget.Node).Report)
 }
 
 // Sign implements budget.Peers.
-func (p peers) Sign(_ context.Context, to string, req *budgetpb.SignRequest) (*budgetpb.SignReply, error) {
+func (p peerClient) Sign(_ context.Context, to string, req *budgetpb.SignRequest) (*budgetpb.SignReply, error) {
 	return call(p, to, req, (*budget.Node).Sign)
 }
 
-// view is what one node believes of the fleet.
-type view struct{ m *Member }
+// fleetView is one instance's view of the fleet.
+type fleetView struct{ instance *Instance }
 
 // Holders implements budget.Fleet: one holder for each failure domain, the
-// node's own domain first, those not thought silent only.
-func (v view) Holders(shard int) []string {
-	f := v.m.fleet
-	best := map[int]*Member{}
-	var order []int
+// instance's own domain first. Instances that count as silent are left out.
+func (v fleetView) Holders(shard int) []string {
+	f := v.instance.fleet
+	holders := map[int]*Instance{}
+	var domains []int
 	for i := range f.Nodes {
-		m := f.Nodes[(shard*7+i)%len(f.Nodes)]
-		if best[m.Domain] == nil && (m == v.m || !v.Silent(m.Incarnation)) {
-			best[m.Domain] = m
-			order = append(order, m.Domain)
+		inst := f.Nodes[(shard*7+i)%len(f.Nodes)]
+		if holders[inst.Domain] == nil && (inst == v.instance || !v.Silent(inst.Incarnation)) {
+			holders[inst.Domain] = inst
+			domains = append(domains, inst.Domain)
 		}
 	}
 	out := []string{}
-	if own := best[v.m.Domain]; own != nil {
+	if own := holders[v.instance.Domain]; own != nil {
 		out = append(out, own.Incarnation)
 	}
-	for _, domain := range order {
-		if domain != v.m.Domain {
-			out = append(out, best[domain].Incarnation)
+	for _, domain := range domains {
+		if domain != v.instance.Domain {
+			out = append(out, holders[domain].Incarnation)
 		}
 	}
 	return out
 }
 
-// Witness implements budget.Fleet: the next place in another domain.
-func (v view) Witness(except string) string {
-	f := v.m.fleet
+// Witness implements budget.Fleet: the next instance in another failure domain
+// that does not count as silent.
+func (v fleetView) Witness(except string) string {
+	f := v.instance.fleet
 	for i := 1; i < len(f.Nodes); i++ {
-		m := f.Nodes[(v.m.Place+i)%len(f.Nodes)]
-		if m.Domain != v.m.Domain && m.Incarnation != except && !v.Silent(m.Incarnation) {
-			return m.Incarnation
+		inst := f.Nodes[(v.instance.Index+i)%len(f.Nodes)]
+		if inst.Domain != v.instance.Domain && inst.Incarnation != except && !v.Silent(inst.Incarnation) {
+			return inst.Incarnation
 		}
 	}
 	return ""
 }
 
 // Silent implements budget.Fleet.
-func (v view) Silent(incarnation string) bool {
-	f := v.m.fleet
-	m := f.find(incarnation)
-	if m == nil {
-		return true // an incarnation of the past
+func (v fleetView) Silent(incarnation string) bool {
+	f := v.instance.fleet
+	inst := f.findInstance(incarnation)
+	if inst == nil {
+		return true // an earlier incarnation, which has crashed
 	}
-	if m == v.m {
+	if inst == v.instance {
 		return false
 	}
-	if m.Paused && f.now.Sub(m.downSince) >= SilentBound {
+	if inst.Paused && f.now.Sub(inst.pausedSince) >= SilenceTimeout {
 		return true
 	}
-	return f.cutLong(v.m, m) || f.cutLong(m, v.m)
+	return f.linkDownTooLong(v.instance, inst) || f.linkDownTooLong(inst, v.instance)
 }
 
-func (f *Fleet) cutLong(from, to *Member) bool {
-	return f.cut[[2]int{from.Place, to.Place}] && f.now.Sub(from.cutSince[to.Place]) >= SilentBound
+func (f *Fleet) linkDownTooLong(from, to *Instance) bool {
+	return f.linksDown[[2]int{from.Index, to.Index}] && f.now.Sub(from.linkDownSince[to.Index]) >= SilenceTimeout
 }
 
-// observer counts what matters to the tests.
+// observer counts reclaimed grants.
 type observer struct{ f *Fleet }
 
 // GrantDrawn implements budget.Observer.
--- a/pkg/budget/fleetfake/fake.go
+++ b/pkg/budget/fleetfake/fake.go
@@ -1,7 +1,7 @@
-// Package fleetfake drives the budget slice's real decision code on small fakes
-// of the store, the peers and the clock, all in one goroutine. It serves the
-// slice's property tests and the experiment; it is no simulator of a cluster:
-// a call either happens at once or fails.
+// Package fleetfake runs the real code of package budget on small fakes of the
+// store, the peers and the clock, all in one goroutine. It is used by the
+// property tests of package budget and by the experiment. It does not simulate
+// the timing of a cluster: a call either completes at once or fails.
 package fleetfake
 
 import (
@@ -14,76 +14,78 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// errFake is every injected fault.
-var errFake = errors.New("injected fault")
+// errInjected is returned for every injected fault.
+var errInjected = errors.New("injected fault")
 
-// SilentBound is how long an instance must be unreachable to count as silent.
-const SilentBound = 3 * time.Second
+// SilenceTimeout is how long an instance must be unreachable to count as silent.
+const SilenceTimeout = 3 * time.Second
 
-// Faults switches what goes wrong, as probabilities for each call.
+// Faults selects the faults to inject. Numbers are probabilities per call.
 type Faults struct {
 	// StoreDown makes every call to the store fail without effect.
 	StoreDown bool
-	// StoreSlow makes every write of a request that waits take effect after the
-	// request has given up on it; writes that nobody waits for succeed.
+	// StoreSlow makes every write that a request waits for take effect but report
+	// an error, as if the request had timed out first. Background writes succeed.
 	StoreSlow bool
-	// LoseWriteAnswer makes a write take effect and report a fault.
+	// LoseWriteAnswer makes a write take effect without an answer; the client then
+	// reads the shard again.
 	LoseWriteAnswer float64
-	// LoseRequest and LoseReply lose messages between instances.
+	// LoseRequest and LoseReply lose requests and replies between instances.
 	LoseRequest, LoseReply float64
-	// PauseInCall stops the caller within a call, long past every limit, while
-	// the others go on.
+	// PauseInCall pauses the caller within a call, for longer than every timeout,
+	// while the other instances continue.
 	PauseInCall float64
 }
 
-// Fleet is a set of nodes with their fakes.
+// Fleet is a set of instances with their fakes.
 type Fleet struct {
-	// Nodes holds the present incarnation at each place.
-	Nodes []*Member
+	// Instances holds the present incarnation of each instance, by index.
+	Nodes []*Instance
 	// Faults may be changed at any time.
 	Faults Faults
-	// Prepaid and Generation are the document in force.
+	// Prepaid holds the prepaid amounts, by budget, of the document in force;
+	// Generation is its generation.
 	Prepaid    map[string]int64
 	Generation uint64
-	// Writes and Reads count the store's calls.
+	// Writes and Reads count the calls to the store.
 	Writes, Reads int64
 	// Messages counts calls between instances.
 	Messages int64
-	// WhilePaused, if set, is what the others do while a caller is paused.
-	WhilePaused func(paused *Member)
+	// WhilePaused, if set, runs the other instances while a caller is paused.
+	WhilePaused func(paused *Instance)
 	// Reclaims counts grants that witnesses reclaimed.
 	Reclaims int
 
-	cfg          budget.Config
-	rng          *rand.Rand
-	now          time.Time
-	shards       map[int][]byte
-	cut          map[[2]int]bool
-	nesting      int
-	waiting      bool // a request waits for what is being done
-	incarnations int
+	cfg             budget.Config
+	rng             *rand.Rand
+	now             time.Time
+	shards          map[int][]byte
+	linksDown       map[[2]int]bool
+	pauseDepth      int
+	requestWaiting  bool // a request waits for the current call
+	numIncarnations int
 }
 
-// Member is one place with the node that stands in it.
-type Member struct {
-	// Node is the real decision code.
+// Instance is one incarnation of an instance, with its node.
+type Instance struct {
+	// Node is the code under test.
 	Node *budget.Node
-	// Incarnation names the node.
+	// Incarnation is the unique name of the incarnation.
 	Incarnation string
-	// Place is its index; Domain its failure domain.
-	Place, Domain int
-	// Dead and Paused tell its state.
+	// Index is the instance's index in the fleet, Domain its failure domain.
+	Index, Domain int
+	// Dead reports that the incarnation has crashed, Paused that it is paused.
 	Dead, Paused bool
 
-	fleet     *Fleet
-	busy      int  // calls it is part of
-	held      bool // waits for a call in which somebody is paused
-	downSince time.Time
-	cutSince  map[int]time.Time
+	fleet         *Fleet
+	activeCalls   int  // calls that this instance sends or handles
+	blocked       bool // takes part in a call in which an instance is paused
+	pausedSince   time.Time
+	linkDownSince map[int]time.Time
 }
 
-// New returns a fleet of nodes spread over the failure domains.
-func New(nodes, domains int, cfg budget.Config, prepaid map[string]int64, rng *rand.Rand) *Fleet {
+// New returns a fleet of instances spread over the failure domains.
+func New(instances, domains int, cfg budget.Config, prepaid map[string]int64, rng *rand.Rand) *Fleet {
 	f := &Fleet{
 		Prepaid:    prepaid,
 		Generation: 1,
@@ -91,39 +93,39 @@
 		rng:        rng,
 		now:        time.Unix(1_700_000_000, 0),
 		shards:     map[int][]byte{},
-		cut:        map[[2]int]bool{},
+		linksDown:  map[[2]int]bool{},
 	}
-	for place := 0; place < nodes; place++ {
-		f.Nodes = append(f.Nodes, f.newMember(place, place%domains))
+	for index := 0; index < instances; index++ {
+		f.Nodes = append(f.Nodes, f.newInstance(index, index%domains))
 	}
 	return f
 }
 
-func (f *Fleet) newMember(place, domain int) *Member {
-	f.incarnations++
-	m := &Member{
-		Incarnation: incarnationName(place, f.incarnations),
-		Place:       place,
-		Domain:      domain,
-		fleet:       f,
-		cutSince:    map[int]time.Time{},
+func (f *Fleet) newInstance(index, domain int) *Instance {
+	f.numIncarnations++
+	inst := &Instance{
+		Incarnation:   incarnationName(index, f.numIncarnations),
+		Index:         index,
+		Domain:        domain,
+		fleet:         f,
+		linkDownSince: map[int]time.Time{},
 	}
 	cfg := f.cfg
-	cfg.Self = m.Incarnation
-	m.Node = budget.NewNode(cfg, budget.Deps{
-		Ledger:   store{m},
-		Peers:    peers{m},
-		Fleet:    view{m},
+	cfg.Self = inst.Incarnation
+	inst.Node = budget.NewNode(cfg, budget.Deps{
+		Ledger:   storeClient{inst},
+		Peers:    peerClient{inst},
+		Fleet:    fleetView{inst},
 		Prepaid:  f.prepaidOf,
 		Observer: observer{f},
 		Now:      func() time.Time { return f.now },
 	})
-	return m
+	return inst
 }
 
-func incarnationName(place, count int) string {
+func incarnationName(index, count int) string {
 	const letters = "abcdefghijklmnopqrstuvwxyz"
-	return string(letters[place%len(letters)]) + "-" + time.Duration(count).String()
+	return string(letters[index%len(letters)]) + "-" + time.Duration(count).String()
 }
 
 func (f *Fleet) prepaidOf(shard int) []budget.ServicePrepaid {
@@ -136,90 +138,93 @@
 	return []budget.ServicePrepaid{{Service: "s", Generation: f.Generation, Amounts: amounts}}
 }
 
-// Advance moves the clock.
+// Advance advances the clock by d.
 func (f *Fleet) Advance(d time.Duration) { f.now = f.now.Add(d) }
 
-// Now returns the fleet's clock.
+// Now returns the time of the fleet's clock.
 func (f *Fleet) Now() time.Time { return f.now }
 
-// Tick ticks every node that runs.
+// Tick calls the node's Tick at every running instance.
 func (f *Fleet) Tick() {
-	for _, m := range f.Nodes {
-		if m.Up() {
-			m.Node.Tick(context.Background())
+	for _, inst := range f.Nodes {
+		if inst.Up() {
+			inst.Node.Tick(context.Background())
 		}
 	}
 }
 
-// Reserve reserves at a place, as a request that waits for the answer.
-func (f *Fleet) Reserve(place int, id string, tokens int64, into *budget.Reservation) error {
-	f.waiting = true
-	defer func() { f.waiting = false }()
-	return f.Nodes[place].Node.Reserve(context.Background(), id, tokens, into)
+// Reserve reserves tokens at an instance, as a request that waits for the answer.
+func (f *Fleet) Reserve(index int, budgetID string, tokens int64, into *budget.Reservation) error {
+	f.requestWaiting = true
+	defer func() { f.requestWaiting = false }()
+	return f.Nodes[index].Node.Reserve(context.Background(), budgetID, tokens, into)
 }
 
-// Crash ends the node at a place for good and starts a new one there.
-func (f *Fleet) Crash(place int) {
-	old := f.Nodes[place]
+// Crash ends an instance's incarnation and starts a new one.
+func (f *Fleet) Crash(index int) {
+	old := f.Nodes[index]
 	old.Dead = true
-	f.Nodes[place] = f.newMember(place, old.Domain)
+	f.Nodes[index] = f.newInstance(index, old.Domain)
 }
 
-// Pause stops a node, and Resume lets it go on where it was.
-func (f *Fleet) Pause(place int) {
-	f.Nodes[place].Paused = true
-	f.Nodes[place].downSince = f.now
+// Pause pauses an instance; Resume lets it continue with its state.
+func (f *Fleet) Pause(index int) {
+	f.Nodes[index].Paused = true
+	f.Nodes[index].pausedSince = f.now
 }
 
-// Resume ends a pause.
-func (f *Fleet) Resume(place int) { f.Nodes[place].Paused = false }
+// Resume ends an instance's pause.
+func (f *Fleet) Resume(index int) { f.Nodes[index].Paused = false }
 
-// Cut breaks or mends the way from one place to another.
-func (f *Fleet) Cut(from, to int, cut bool) {
-	f.cut[[2]int{from, to}] = cut
+// SetLinkDown breaks or restores the link from one instance to another, in this
+// direction only.
+func (f *Fleet) Cut(from, to int, down bool) {
+	f.linksDown[[2]int{from, to}] = down
 	since := time.Time{}
-	if cut {
+	if down {
 		since = f.now
 	}
-	f.Nodes[from].cutSince[to] = since
+	f.Nodes[from].linkDownSince[to] = since
 }
 
 // Shard returns the committed state of a shard.
 func (f *Fleet) Shard(n int) *ledger.Shard {
 	shard, err := ledger.Decode(f.shards[n])
 	if err != nil {
-		panic(err) // the fake wrote it itself
+		panic(err) // only Update writes shards, and it encodes them itself
 	}
 	return shard
 }
 
-// Budget returns the committed state of a budget; nil if nobody touched it.
-func (f *Fleet) Budget(id string) *ledger.Budget {
-	return f.Shard(ledger.ShardOf(id, f.cfg.Shards)).Budgets[id]
+// Budget returns the committed state of a budget; nil if it is not in the ledger.
+func (f *Fleet) Budget(budgetID string) *ledger.Budget {
+	return f.Shard(ledger.ShardOf(budgetID, f.cfg.Shards)).Budgets[budgetID]
 }
 
-// Up reports whether the node can do anything now.
-func (m *Member) Up() bool { return !m.Dead && !m.Paused && !m.held }
+// Up reports whether the instance can run now.
+func (inst *Instance) Up() bool { return !inst.Dead && !inst.Paused && !inst.blocked }
 
-// pause stops the caller in the middle of a call, at most one at a time.
-func (m *Member) pause() {
-	f := m.fleet
-	if f.nesting > 0 || f.WhilePaused == nil || f.rng.Float64() >= f.Faults.PauseInCall {
+// maybePause pauses the caller in the middle of a call with the probability
+// Faults.PauseInCall, at most one instance at a time.
+func (inst *Instance) maybePause() {
+	f := inst.fleet
+	if f.pauseDepth > 0 || f.WhilePaused == nil || f.rng.Float64() >= f.Faults.PauseInCall {
 		return
 	}
-	f.nesting++
-	m.Paused = true
-	m.downSince = f.now
-	f.hold(true)
-	f.WhilePaused(m)
-	f.hold(false)
-	m.Paused = false
-	f.nesting--
-}
-
-// hold stops, or lets go on, every node that waits for a call in progress.
-func (f *Fleet) hold(held bool) {
-	for _, m := range f.Nodes {
-		m.held = held && m.busy > 0
+	f.pauseDepth++
+	inst.Paused = true
+	inst.pausedSince = f.now
+	f.setBlocked(true)
+	f.WhilePaused(inst)
+	f.setBlocked(false)
+	inst.Paused = false
+	f.pauseDepth--
+}
+
+// setBlocked blocks every instance that takes part in a call in progress, or
+// unblocks all instances.
+func (f *Fleet) setBlocked(blocked bool) {
+	for _, inst := range f.Nodes {
+		inst.blocked = blocked && inst.activeCalls > 0
 	}
 }
--- a/pkg/budget/safety_test.go
+++ b/pkg/budget/safety_test.go
@@ -41,7 +41,7 @@
 }
 
 type openRequest struct {
-	member      *fleetfake.Member
+	instance    *fleetfake.Instance
 	budget      string
 	reservation *budget.Reservation
 }
@@ -75,7 +75,7 @@
 
 // whilePaused lets the other instances continue until the paused one counts as
 // silent, and for a few seconds more.
-func (h *history) whilePaused(*fleetfake.Member) {
+func (h *history) whilePaused(*fleetfake.Instance) {
 	for i := 0; i < 6; i++ {
 		h.fleet.Advance(time.Second)
 		h.fleet.Tick()
@@ -116,17 +116,17 @@
 }
 
 func (h *history) reserve() {
-	member := h.fleet.Nodes[h.rng.IntN(historyInstances)]
-	if !member.Up() {
+	instance := h.fleet.Nodes[h.rng.IntN(historyInstances)]
+	if !instance.Up() {
 		return
 	}
 	request := openRequest{
-		member:      member,
+		instance:    instance,
 		budget:      budgetID(h.rng.IntN(historyBudgets)),
 		reservation: &budget.Reservation{},
 	}
 	tokens := int64(1 + h.rng.IntN(maxRequestTokens))
-	err := member.Node.Reserve(h.test.Context(), request.budget, tokens, request.reservation)
+	err := instance.Node.Reserve(h.test.Context(), request.budget, tokens, request.reservation)
 	if err == nil {
 		h.openRequests = append(h.openRequests, request)
 	}
@@ -140,7 +140,7 @@
 	}
 	i := h.rng.IntN(len(h.openRequests))
 	request := h.openRequests[i]
-	if !request.member.Up() && !request.member.Dead {
+	if !request.instance.Up() && !request.instance.Dead {
 		return
 	}
 	h.openRequests = append(h.openRequests[:i], h.openRequests[i+1:]...)
@@ -149,8 +149,8 @@
 		used = h.rng.Int64N(used + 1)
 	}
 	h.spent[request.budget] += used
-	if !request.member.Dead {
-		request.member.Node.Settle(request.reservation, used)
+	if !request.instance.Dead {
+		request.instance.Node.Settle(request.reservation, used)
 	}
 }
 
@@ -221,8 +221,8 @@
 			tokens += request.reservation.Tokens()
 		}
 	}
-	for _, member := range h.fleet.Nodes {
-		tokens += member.Node.Spender().Free(name)
+	for _, instance := range h.fleet.Nodes {
+		tokens += instance.Node.Spender().Free(name)
 	}
 	return tokens
 }
