--- a/pkg/budget/holder.go
+++ b/pkg/budget/holder.go
@@ -29,7 +29,7 @@
 	return &Holder{cfg: cfg, budgets: map[string]*heldBudget{}, grants: map[string]*grant{}}
 }
 
-func (h *Holder) budget(budget string) *heldBudget {
+func (h *Holder) getOrCreateBudget(budget string) *heldBudget {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b := h.budgets[budget]
@@ -179,8 +179,8 @@
 }
 
 // mergeSignatures merges a witness's answer and returns the grants for which the
-// witness refused to sign because it has closed them. The signed total only
-// increases.
+// witness refused to sign because it has closed them. A signature never lowers the
+// signed total.
 func (h *Holder) mergeSignatures(witness string, sent []*budgetpb.GrantState, signatures []*budgetpb.Signature) []*grant {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/budget/node.go
+++ b/pkg/budget/node.go
@@ -177,7 +177,7 @@
 // tokens from spenders. It reports whether the budget is exhausted: the witness,
 // the ledger and the spenders all answered, and the tokens still do not suffice.
 func (n *Node) refill(ctx context.Context, budget string, need int64, requester string) (exhausted bool) {
-	b := n.holder.budget(budget)
+	b := n.holder.getOrCreateBudget(budget)
 	b.refillMu.Lock()
 	defer b.refillMu.Unlock()
 	exhausted = true
