--- a/pkg/store/era.go
+++ b/pkg/store/era.go
@@ -2,29 +2,32 @@
 
 import "fmt"
 
-// EraNews is what an answer of the store told of its era.
+// EraEvent reports a later era, or a fault in the era of an answer of the store.
 type EraNews struct {
-	// From is the era that was known, To the one that is known now.
+	// From is the latest era known before the answer, To the latest known after it.
 	From, To Era
-	// Fault is why the answer was passed over, or its era not taken in; nil for a later era.
+	// Err is why the answer was rejected (ErrOldEra) or its era ignored (*InvalidEraError); nil for
+	// a later era.
 	Fault error
 }
 
-// Listener is told what the store's answers say of the store itself. Each function may be nil.
+// Listener receives what a client learns about the store itself from its calls. Each function may be
+// nil.
 type Listener struct {
-	// State is told of each call whether the store answered it: nil, or why not.
+	// OnCall is called for each call with nil if the store answered it, or with the reason why not.
 	State func(error)
-	// Era is told of each later era, and once of each kind of fault.
+	// OnEra is called for each later era, and once for each kind of fault.
 	Era func(EraNews)
 }
 
-// EraFaultError is an era that cannot be read, or cannot be true. The one that is known stands.
-type EraFaultError struct {
-	// Told is the beginning of what the answer said.
-	Told string
+// InvalidEraError reports an era that is not a positive number or is implausibly high. The latest
+// known era stays in force.
+type InvalidEraError struct {
+	// Value is the beginning of the era as it was in the answer.
+	Value string
 }
 
 // Error implements error.
-func (e *EraFaultError) Error() string {
-	return fmt.Sprintf("the store tells an unusable era %q", e.Told)
+func (e *InvalidEraError) Error() string {
+	return fmt.Sprintf("invalid store era %q", e.Value)
 }
