--- a/pkg/store/eraobject.go
+++ b/pkg/store/eraobject.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// FirstEra is that of a store which has never gone back. Its objects bear no era in their names.
+// FirstEra is the era of a store that has never been rolled back. The keys of its objects do not
+// contain the era.
 const FirstEra Era = 1
 
 // Lister is a store whose kinds can be listed.
@@ -18,48 +19,49 @@
 	List(ctx context.Context, kind string) (Listing, error)
 }
 
-// ReadEraObject reads the object that stands for a key in the present era. Objects that must
-// outlast the store's going back have a name of their own in each era: a write of an older era that
-// arrives late, or whose version has been given out again, meets another object and replaces
-// nothing. If the present era has none yet, what is returned is to be created, with the value of the
-// newest older one; its key says where.
+// ReadEraObject reads the object that represents a key in the present era. Objects whose contents must
+// survive a rollback of the store have a separate key in each era: a write of an older era that
+// arrives late, or whose expected version has been assigned again, concerns another object and
+// replaces nothing. If the present era has no object yet, the returned object is to be created at its
+// Key and Position, and its value is that of the object of the latest older era.
 func ReadEraObject(ctx context.Context, s Lister, key string) (Object, error) {
 	for era := FirstEra; ; {
 		object, err := s.Get(ctx, EraKey(key, era))
 		if err != nil && !errors.Is(err, ErrNotFound) {
 			return Object{}, err
 		}
-		if told := object.Position.Era; told > era {
-			era = told // the object of this one is the one that counts
+		if storeEra := object.Position.Era; storeEra > era {
+			era = storeEra // read the object of the store's era instead
 			continue
 		}
 		if err == nil || era == FirstEra {
 			object.Key = EraKey(key, era)
 			return object, nil
 		}
-		return newestOlder(ctx, s, key, object.Position)
+		return latestOlderObject(ctx, s, key, object.Position)
 	}
 }
 
-// newestOlder returns what the object of an era is made of, to be created at a position.
-func newestOlder(ctx context.Context, s Lister, key string, at Position) (Object, error) {
+// latestOlderObject returns the object to create at a position, with the value that the key has in the
+// latest older era.
+func latestOlderObject(ctx context.Context, s Lister, key string, at Position) (Object, error) {
 	kind, _, _ := strings.Cut(key, "/")
 	list, err := s.List(ctx, kind)
 	if err != nil {
 		return Object{}, err
 	}
-	made := Object{Key: EraKey(key, at.Era), Position: at}
+	initial := Object{Key: EraKey(key, at.Era), Position: at}
 	newest := Era(0)
 	for _, object := range list.Objects {
-		era, ofKey := eraOf(object.Key, key)
-		if ofKey && era < at.Era && era > newest {
-			newest, made.Value = era, object.Value
+		era, matches := eraOfKey(object.Key, key)
+		if matches && era < at.Era && era > newest {
+			newest, initial.Value = era, object.Value
 		}
 	}
-	return made, nil
+	return initial, nil
 }
 
-// EraKey is the key of the object that stands for a key in an era.
+// EraKey returns the key of the object that represents a key in an era.
 func EraKey(key string, era Era) string {
 	if era <= FirstEra {
 		return key
@@ -67,13 +69,13 @@
 	return fmt.Sprintf("%s-%d", key, era)
 }
 
-// eraOf reads the era from an object's key, if it stands for the key given.
-func eraOf(objectKey, key string) (era Era, ofKey bool) {
-	rest, ofKey := strings.CutPrefix(objectKey, key)
-	if !ofKey || rest == "" {
-		return FirstEra, ofKey
+// eraOfKey returns the era of an object's key and whether the object represents the given key.
+func eraOfKey(objectKey, key string) (era Era, matches bool) {
+	rest, matches := strings.CutPrefix(objectKey, key)
+	if !matches || rest == "" {
+		return FirstEra, matches
 	}
-	text, ofKey := strings.CutPrefix(rest, "-")
+	text, matches := strings.CutPrefix(rest, "-")
 	number, err := strconv.ParseUint(text, 10, 64)
-	return Era(number), ofKey && err == nil
+	return Era(number), matches && err == nil
 }
--- a/pkg/store/errors.go
+++ b/pkg/store/errors.go
@@ -5,26 +5,26 @@
 	"fmt"
 )
 
-// Errors of the store.
+// Errors of calls to the store.
 var (
 	// ErrNotFound means that no object has the key.
 	ErrNotFound = errors.New("object not found")
 	// ErrConflict means that the object's version is not the expected one.
 	ErrConflict = errors.New("object version conflict")
-	// ErrThrottled means that the store refused the call for its rate.
+	// ErrThrottled means that the store refused the call because there were too many.
 	ErrThrottled = errors.New("store throttled the call")
-	// ErrUncertain means that a write may have taken effect, or may yet.
+	// ErrUncertain means that a write may have taken effect, or may still do so.
 	ErrUncertain = errors.New("write may have taken effect")
-	// ErrHistoryGone means that changes since a version are not known any more.
+	// ErrHistoryGone means that the store no longer has the changes since a version.
 	ErrHistoryGone = errors.New("history of changes is gone")
-	// ErrOldEra means that an answer was of an older era than one already seen: it comes from
-	// before the store went back, and nothing in it holds any more.
+	// ErrOldEra means that an answer was of an older era than one already seen: it dates from
+	// before a rollback of the store, and nothing in it is valid any more.
 	ErrOldEra = errors.New("answer of an older era of the store")
-	// ErrUnavailable means that the store refused the call and did nothing.
+	// ErrUnavailable means that the store refused the call and it had no effect.
 	ErrUnavailable = errors.New("store is unavailable")
 )
 
-// ConflictError is a conflict whose answer told what stands in the store, which
+// ConflictError is an ErrConflict whose answer contained the object in the store, which
 // saves the next attempt a read.
 type ConflictError struct{ Present Object }
 
@@ -36,7 +36,7 @@
 // Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// CallError tells which call on which object failed.
+// CallError is the error of a call, with the call and its object.
 type CallError struct {
 	// Step is the call: "get", "put", "list" or "watch".
 	Step string
--- a/pkg/store/position.go
+++ b/pkg/store/position.go
@@ -6,28 +6,29 @@
 	"fmt"
 )
 
-// Era counts how often the store has come back from a copy of itself that was some seconds old.
-// What it had acknowledged since the copy is gone then, and its versions are given out again.
+// Era identifies the period between two rollbacks of the store; it increases with each. In a rollback
+// the store is restored from a copy of itself that is some seconds old: the writes that it acknowledged
+// after the copy are lost, and their versions are assigned again.
 type Era uint64
 
 // Version counts the changes of a whole store within one era.
 type Version uint64
 
-// Position is a place in the history of a store. Versions of two eras say nothing about each
-// other, so nothing compares bare versions: a copy that waited for a higher version would take in
-// nothing that is written after the store went back, until the count has caught up.
+// Position is a point in the history of a store. Versions of different eras cannot be compared, so all
+// comparisons are of positions: a copy that waited for a higher version would ignore everything that is
+// written after a rollback until the version had caught up.
 type Position struct {
 	Era     Era
 	Version Version
 }
 
-// NoPosition is that of an object which does not exist, in a store that tells no era.
+// NoPosition is the position of an object that does not exist, in a store without eras.
 var NoPosition = Position{}
 
-// At returns a position in the first era.
+// At returns the position of a version in a store without eras.
 func At(version Version) Position { return Position{Version: version} }
 
-// Compare returns -1, 0 or 1 as p is before, at or after another position.
+// Compare returns -1, 0 or 1 if p is before, equal to or after other.
 func (p Position) Compare(other Position) int {
 	if p.Era != other.Era {
 		return cmp.Compare(p.Era, other.Era)
@@ -35,10 +36,10 @@
 	return cmp.Compare(p.Version, other.Version)
 }
 
-// Before reports whether p is earlier than another position.
+// Before reports whether p is before other.
 func (p Position) Before(other Position) bool { return p.Compare(other) < 0 }
 
-// IsZero reports that p is the position of nothing, in whatever era: that of an object which does
+// IsZero reports whether p has no version, in whatever era: it is the position of an object that does
 // not exist, or of a copy that has not been read.
 func (p Position) IsZero() bool { return p.Version == 0 }
 
@@ -50,7 +51,7 @@
 	return a
 }
 
-// String shows the version, and the era if there was more than one.
+// String returns the version, followed by the era if there is one.
 func (p Position) String() string {
 	if p.Era == 0 {
 		return fmt.Sprint(uint64(p.Version))
@@ -58,13 +59,13 @@
 	return fmt.Sprintf("%d in era %d", p.Version, p.Era)
 }
 
-// wirePosition is a position as it is kept in objects.
+// wirePosition is the encoded form of a position with an era.
 type wirePosition struct {
 	Era     Era     `json:"era"`
 	Version Version `json:"version"`
 }
 
-// MarshalJSON implements json.Marshaler: a bare version where no era is told.
+// MarshalJSON implements json.Marshaler. A position without an era is encoded as its version alone.
 func (p Position) MarshalJSON() ([]byte, error) {
 	if p.Era == 0 {
 		return json.Marshal(uint64(p.Version))
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -1,6 +1,7 @@
-// Package store is what the duties need of the platform's store: objects with
-// versions, conditional updates, lists and watches, and the loop around one
-// conditional update. The platform's adapter implements it.
+// Package store defines the interface to the platform's store, which holds
+// objects with versions and offers conditional updates, lists and watches, and
+// implements the retry loop around a conditional update. The platform's adapter
+// implements the interface.
 package store
 
 import (
@@ -21,17 +22,17 @@
 // Change is one event of a watch.
 type Change struct {
 	Object Object
-	// Deleted says that the object is gone.
+	// Deleted reports that the object was deleted.
 	Deleted bool
 }
 
-// Listing is a whole list, and the store's position when it was read.
+// Listing is a complete list, and the store's position when it was read.
 type Listing struct {
 	Objects  []Object
 	Position Position
 }
 
-// Changes is what a watch returns: what changed, and the position to go on from.
+// Changes is the result of a watch: the changes, and the position for the next watch.
 type Changes struct {
 	Changes  []Change
 	Position Position
@@ -40,23 +41,24 @@
 // Store reads and writes single objects. Errors are *CallError and wrap the
 // package's errors where they apply.
 type Store interface {
-	// Get reads an object. With ErrNotFound comes an object of no version, whose position
-	// is the one to create it at.
+	// Get reads an object. With ErrNotFound it returns an object without a version, whose
+	// position is the one to create the object at.
 	Get(ctx context.Context, key string) (Object, error)
-	// Put writes an object whose position must still be expect and returns its new one. No
-	// version stands for "must not exist". ErrConflict comes as a *ConflictError if the store
-	// told what stands there. After ErrUncertain the caller reads back and looks for its
-	// own mark in the value: a write that a later era answered is uncertain too.
+	// Put writes an object whose position must still be expect and returns its new position.
+	// If expect has no version, the object must not exist. ErrConflict comes as a
+	// *ConflictError if the store returned the present object. After ErrUncertain the caller
+	// must read the object and look for its own mark in the value. A write that was answered
+	// in a later era is uncertain too.
 	Put(ctx context.Context, key string, value []byte, expect Position) (Position, error)
 }
 
-// Watcher also lists the objects of a kind and waits for their changes.
+// Watcher is a Store that can also list the objects of a kind and wait for their changes.
 type Watcher interface {
 	Store
 	// List reads all objects of a kind.
 	List(ctx context.Context, kind string) (Listing, error)
 	// Watch waits until an object of a kind changes after since, or until wait
-	// is over. ErrHistoryGone means that the list has to be read anew, also because the
-	// store is in a later era than since.
+	// is over. ErrHistoryGone means that the objects must be listed again, because the
+	// changes since then are not available or the store is in a later era than since.
 	Watch(ctx context.Context, kind string, since Position, wait time.Duration) (Changes, error)
 }
