--- a/pkg/store/storefake/store.go
+++ b/pkg/store/storefake/store.go
@@ -1,5 +1,5 @@
-// Package storefake is an in-memory object store with seeded faults, for tests
-// of the duties that write to the platform.
+// Package storefake is an in-memory object store with seeded random faults, for
+// tests of packages that write to the platform's store.
 package storefake
 
 import (
@@ -13,42 +13,44 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// errDown is the fault of a store that is away.
+// errDown is the error of all calls during an outage.
 var errDown = errors.New("store is down")
 
-// Store implements store.Store. It is safe for concurrent use.
+// Store implements store.Lister. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	objects map[string]store.Object
 	version store.Version
-	// era is the store's; past holds what stood before each write.
-	era  store.Era
-	past []snapshot
-	// Down makes every call fail without effect.
+	// era is the store's era; snapshots holds the contents before each write.
+	era       store.Era
+	snapshots []snapshot
+	// down makes every call fail without effect.
 	down bool
-	// lose is the probability that a write takes effect and its answer is lost.
-	lose float64
-	// Between, if set, runs before each write with a given probability.
-	between func()
-	nested  bool
-	chance  float64
+	// lostAnswerProbability is the probability that a write takes effect but returns
+	// ErrUncertain.
+	lostAnswerProbability float64
+	// beforeWrite, if set, runs before each write with the probability
+	// beforeWriteProbability; inBeforeWrite is true while it runs.
+	beforeWrite            func()
+	inBeforeWrite          bool
+	beforeWriteProbability float64
 }
 
-// snapshot is the store as it was.
+// snapshot holds the store's contents at one time.
 type snapshot struct {
 	objects map[string]store.Object
 	version store.Version
 }
 
-// GoBack puts the store back behind some writes, under the next era.
+// RollBack undoes the last writes and starts the next era.
 func (s *Store) GoBack(writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if writes = min(writes, len(s.past)); writes > 0 {
-		at := s.past[len(s.past)-writes]
+	if writes = min(writes, len(s.snapshots)); writes > 0 {
+		at := s.snapshots[len(s.snapshots)-writes]
 		s.objects, s.version = maps.Clone(at.objects), at.version
-		s.past = s.past[:len(s.past)-writes]
+		s.snapshots = s.snapshots[:len(s.snapshots)-writes]
 	}
 	s.era = max(s.era, store.FirstEra) + 1
 }
@@ -63,14 +65,14 @@
 	list := store.Listing{Position: store.Position{Era: s.era, Version: s.version}}
 	for key, object := range s.objects {
 		if strings.HasPrefix(key, kind+"/") {
-			list.Objects = append(list.Objects, s.inEra(object))
+			list.Objects = append(list.Objects, s.withPresentEra(object))
 		}
 	}
 	return list, nil
 }
 
-// inEra returns an object at the position that the present era gives it; s.mu is held.
-func (s *Store) inEra(object store.Object) store.Object {
+// withPresentEra returns an object with the present era in its position. The caller holds s.mu.
+func (s *Store) withPresentEra(object store.Object) store.Object {
 	object.Position.Era = s.era
 	return object
 }
@@ -80,18 +82,19 @@
 	return &Store{rng: rand.New(rand.NewPCG(seed, 3)), objects: map[string]store.Object{}}
 }
 
-// SetFaults switches an outage and the probability of lost answers.
-func (s *Store) SetFaults(down bool, lose float64) {
+// SetFaults sets whether there is an outage, and the probability of lost answers.
+func (s *Store) SetFaults(down bool, lostAnswerProbability float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down, s.lose = down, lose
+	s.down, s.lostAnswerProbability = down, lostAnswerProbability
 }
 
-// SetBetween runs a function before writes with a probability; not within itself.
-func (s *Store) SetBetween(chance float64, between func()) {
+// SetBeforeWrite sets a function that runs before each write with a probability, but not before writes
+// made while it runs.
+func (s *Store) SetBetween(probability float64, beforeWrite func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.chance, s.between = chance, between
+	s.beforeWriteProbability, s.beforeWrite = probability, beforeWrite
 }
 
 // Get implements store.Store.
@@ -105,12 +108,12 @@
 	if !found {
 		return store.Object{Key: key, Position: store.Position{Era: s.era}}, store.ErrNotFound
 	}
-	return s.inEra(object), nil
+	return s.withPresentEra(object), nil
 }
 
 // Put implements store.Store.
 func (s *Store) Put(_ context.Context, key string, value []byte, expect store.Position) (store.Position, error) {
-	s.interleave()
+	s.runBeforeWrite()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -119,30 +122,31 @@
 	if expect.Era < s.era || s.objects[key].Position.Version != expect.Version {
 		return store.NoPosition, store.ErrConflict
 	}
-	s.past = append(s.past, snapshot{objects: maps.Clone(s.objects), version: s.version})
+	s.snapshots = append(s.snapshots, snapshot{objects: maps.Clone(s.objects), version: s.version})
 	s.version++
 	s.objects[key] = store.Object{Key: key, Position: store.At(s.version), Value: append([]byte(nil), value...)}
-	if s.rng.Float64() < s.lose {
+	if s.rng.Float64() < s.lostAnswerProbability {
 		return store.NoPosition, store.ErrUncertain
 	}
 	return store.Position{Era: s.era, Version: s.version}, nil
 }
 
-func (s *Store) interleave() {
+// runBeforeWrite runs the function of SetBeforeWrite with its probability.
+func (s *Store) runBeforeWrite() {
 	s.mu.Lock()
-	run := s.between != nil && !s.nested && s.rng.Float64() < s.chance
-	s.nested = s.nested || run
+	run := s.beforeWrite != nil && !s.inBeforeWrite && s.rng.Float64() < s.beforeWriteProbability
+	s.inBeforeWrite = s.inBeforeWrite || run
 	s.mu.Unlock()
 	if !run {
 		return
 	}
-	s.between()
+	s.beforeWrite()
 	s.mu.Lock()
-	s.nested = false
+	s.inBeforeWrite = false
 	s.mu.Unlock()
 }
 
-// Objects returns all objects.
+// Objects returns all objects, in no particular order.
 func (s *Store) Objects() []store.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
