--- a/pkg/settings/router_test.go
+++ b/pkg/settings/router_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const goodRouter = `
+const validRouter = `
 name = "edge-1"
 region = "r"
 domain = "a"
@@ -18,21 +18,21 @@
 `
 
 func TestRouterSettingsHaveDefaults(t *testing.T) {
-	r, err := ParseRouter("f", []byte(goodRouter))
+	r, err := ParseRouter("f", []byte(validRouter))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r.LedgerShards != 4 || r.Grace().Seconds() != 8 {
-		t.Errorf("got %+v", r)
+		t.Errorf("settings with defaults: %+v", r)
 	}
 }
 
-// Every wrong setting is named at once, so that an operator corrects a file once.
+// All invalid settings are reported together, so that an operator needs to correct a file only once.
 func TestRouterSettingsNameEveryFault(t *testing.T) {
-	text := strings.Replace(goodRouter, `"127.0.0.1:1"`, `"here"`, 1) + "retry_ratio = 3.0\nahead_seconds = 0\n"
+	text := strings.Replace(validRouter, `"127.0.0.1:1"`, `"here"`, 1) + "retry_ratio = 3.0\nahead_seconds = 0\n"
 	_, err := ParseRouter("f", []byte(text))
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) || len(invalid.Faults) != 3 {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want an InvalidError with 3 faults", err)
 	}
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads an instance's start-up settings: where it stands and
-// whom it talks to. They never change while it runs; what does change is the
-// service document.
+// Package settings reads and checks an instance's start-up settings, such as its
+// failure domain and the addresses that it uses. They do not change while the
+// instance runs; configuration that does is in the service document.
 package settings
 
 import (
@@ -15,20 +15,20 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is what one instance is started with.
+// Settings holds the start-up settings of one instance.
 type Settings struct {
 	// Name identifies the instance; a restarted instance may keep it.
 	Name string `toml:"name"`
-	// Region is the region the instance stands in. Default "main".
+	// Region is the instance's region. Default "main".
 	Region string `toml:"region"`
-	// Domain is its failure domain.
+	// Domain is the instance's failure domain.
 	Domain string `toml:"domain"`
 	// CallerAddress is the IP address and port where callers are served.
 	CallerAddress string `toml:"caller_address"`
 	// PeerAddress is the IP address and port for other instances.
 	PeerAddress string `toml:"peer_address"`
-	// PeerAdvertise is the IP address and port by which other instances reach
-	// this one, where that differs from peer_address. Default peer_address.
+	// PeerAdvertise is the IP address and port at which other instances reach
+	// this one, if it differs from peer_address. Default peer_address.
 	PeerAdvertise string `toml:"peer_advertise"`
 	// AdminAddress is the IP address and port for operators: health, metrics,
 	// status, events.
@@ -36,13 +36,13 @@
 	// PlatformAddress is the platform's object API, IP address and port.
 	PlatformAddress string `toml:"platform_address"`
 	// Seeds lists peer addresses of other instances, for an instance that starts
-	// while the platform is down. Default none.
+	// while the platform is unavailable. Default none.
 	Seeds []string `toml:"seeds"`
-	// LedgerShards is the number of ledger objects; the same at all instances
-	// and never changed on a platform in use. Default 16.
+	// LedgerShards is the number of ledger objects. It must be the same at all
+	// instances and must not change on a platform in use. Default 16.
 	LedgerShards int `toml:"ledger_shards"`
-	// ClaimShards is the number of claim objects; the same at all instances
-	// and never changed on a platform in use. Default 16.
+	// ClaimShards is the number of claim objects. It must be the same at all
+	// instances and must not change on a platform in use. Default 16.
 	ClaimShards int `toml:"claim_shards"`
 	// StoreTimeoutMillis bounds one call to the platform, in milliseconds.
 	// Default 1000.
@@ -50,50 +50,52 @@
 	// HeartbeatMillis is the time between heartbeats to a peer, in
 	// milliseconds. Default 1000.
 	HeartbeatMillis int64 `toml:"heartbeat_millis"`
-	// PeerSilentMillis is how long a peer may be silent before others work
-	// around it, in milliseconds. Default 3500.
+	// PeerSilentMillis is how long a peer may be silent before other instances
+	// stop relying on it, in milliseconds. Default 3500.
 	PeerSilentMillis int64 `toml:"peer_silent_millis"`
-	// AheadSeconds is how many seconds of an account's demand an instance
-	// keeps allocated for it. Default 2.
+	// AheadSeconds is how many seconds of an account's demand for tokens an
+	// instance keeps allocated in advance. Default 2.
 	AheadSeconds int64 `toml:"ahead_seconds"`
-	// CallerReadMillis bounds the reading of one caller's request, and so how
-	// long a slow or endless one holds a connection, in milliseconds. Default 30000.
+	// CallerReadMillis bounds the time to read one caller's request, and so how
+	// long a slow or endless request occupies a connection, in milliseconds.
+	// Default 30000.
 	CallerReadMillis int64 `toml:"caller_read_millis"`
-	// DrainDelayMillis is how long a stopping instance is unready and still takes
-	// requests, so that the balancer has turned away before one is refused, in
-	// milliseconds. Default 2000.
+	// DrainDelayMillis is how long a stopping instance reports that it is not ready
+	// but still accepts requests, so that the load balancer has stopped sending to
+	// it before it refuses any, in milliseconds. Default 2000.
 	DrainDelayMillis int64 `toml:"drain_delay_millis"`
-	// PeerTLS holds the files for mutual TLS between instances. Empty is none:
+	// PeerTLS names the files for mutual TLS between instances. Empty means no TLS:
 	// then the peer address must be reachable by instances only.
 	PeerTLS TLSFiles `toml:"peer_tls"`
-	// CallerTLS holds the files for TLS towards callers. Empty is none.
+	// CallerTLS names the files for TLS with callers. Empty means no TLS.
 	CallerTLS TLSFiles `toml:"caller_tls"`
 	// AdminTokenSHA256 is the SHA-256 of the operators' bearer token, in
-	// hexadecimal. Empty closes the administration calls that change or show
-	// accounts.
+	// hexadecimal. If it is empty, the administration calls that change or show
+	// accounts are disabled.
 	AdminTokenSHA256 string `toml:"admin_token_sha256"`
 }
 
-// TLSFiles names PEM files. They are read again when they are replaced.
+// TLSFiles names PEM files. Files that are replaced are read again.
 type TLSFiles struct {
 	// Certificate is the instance's certificate; between instances it carries
 	// the DNS name "lavenderring-peer".
 	Certificate string `toml:"certificate"`
-	// Key is its private key.
+	// Key is the certificate's private key.
 	Key string `toml:"key"`
-	// Authority certifies instances; for peer_tls only.
+	// Authority is the certificate authority of the instances' certificates; for
+	// peer_tls only.
 	Authority string `toml:"authority"`
 }
 
-// Fault is one wrong setting.
+// Fault describes one invalid setting.
 type Fault struct {
-	// File, Key and Value say where it stands and what stands there.
+	// File, Key and Value are the settings file, the setting's key and its value.
 	File, Key, Value string
-	// Allowed says what may stand there.
+	// Allowed describes the allowed values.
 	Allowed string
 }
 
-// InvalidError lists every wrong setting of a file.
+// InvalidError lists all invalid settings of a file.
 type InvalidError struct{ Faults []Fault }
 
 // Error implements error.
@@ -105,8 +107,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks a settings file. The error is an *InvalidError that
-// names every fault, or the file system's.
+// Load reads and checks a settings file. The error is an *InvalidError with all
+// faults, or wraps that of reading the file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -115,7 +117,7 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a settings file; path is used in errors only.
+// Parse decodes and checks the text of a settings file; path is used in errors only.
 func Parse(path string, text []byte) (*Settings, error) {
 	s := defaults()
 	if err := decode(path, text, s); err != nil {
@@ -162,7 +164,7 @@
 	}
 }
 
-// checker gathers the faults of one file.
+// checker collects the faults of one file.
 type checker struct {
 	path   string
 	faults []Fault
@@ -174,71 +176,71 @@
 	}
 }
 
-func (c *checker) address(key, value string) {
+func (c *checker) requireAddress(key, value string) {
 	_, err := netip.ParseAddrPort(value)
 	c.require(err == nil, key, value, "an IP address and port")
 }
 
-func (c *checker) between(key string, value, low, high int64) {
+func (c *checker) requireRange(key string, value, low, high int64) {
 	c.require(value >= low && value <= high, key, value, fmt.Sprintf("%d to %d", low, high))
 }
 
 func (s *Settings) check(path string) []Fault {
 	c := &checker{path: path}
-	require, address, between := c.require, c.address, c.between
+	require, requireAddress, requireRange := c.require, c.requireAddress, c.requireRange
 	require(s.Name != "" && !strings.ContainsAny(s.Name, "/ "), "name", s.Name, "a name without slash or blank")
 	require(s.Domain != "", "domain", s.Domain, "a failure domain's name")
 	require(s.Region != "", "region", s.Region, "a region's name")
-	address("caller_address", s.CallerAddress)
-	address("peer_address", s.PeerAddress)
+	requireAddress("caller_address", s.CallerAddress)
+	requireAddress("peer_address", s.PeerAddress)
 	if s.PeerAdvertise == "" {
 		s.PeerAdvertise = s.PeerAddress
 	}
-	address("peer_advertise", s.PeerAdvertise)
-	address("admin_address", s.AdminAddress)
-	address("platform_address", s.PlatformAddress)
+	requireAddress("peer_advertise", s.PeerAdvertise)
+	requireAddress("admin_address", s.AdminAddress)
+	requireAddress("platform_address", s.PlatformAddress)
 	for i, seed := range s.Seeds {
-		address(fmt.Sprintf("seeds[%d]", i), seed)
+		requireAddress(fmt.Sprintf("seeds[%d]", i), seed)
 	}
-	between("ledger_shards", int64(s.LedgerShards), 1, 4096)
-	between("claim_shards", int64(s.ClaimShards), 1, 4096)
-	between("store_timeout_millis", s.StoreTimeoutMillis, 10, 60_000)
-	between("heartbeat_millis", s.HeartbeatMillis, 10, 60_000)
-	between("peer_silent_millis", s.PeerSilentMillis, 2*s.HeartbeatMillis, 600_000)
-	between("drain_delay_millis", s.DrainDelayMillis, 0, 600_000)
-	between("caller_read_millis", s.CallerReadMillis, 100, 600_000)
-	between("ahead_seconds", s.AheadSeconds, 1, 600)
+	requireRange("ledger_shards", int64(s.LedgerShards), 1, 4096)
+	requireRange("claim_shards", int64(s.ClaimShards), 1, 4096)
+	requireRange("store_timeout_millis", s.StoreTimeoutMillis, 10, 60_000)
+	requireRange("heartbeat_millis", s.HeartbeatMillis, 10, 60_000)
+	requireRange("peer_silent_millis", s.PeerSilentMillis, 2*s.HeartbeatMillis, 600_000)
+	requireRange("drain_delay_millis", s.DrainDelayMillis, 0, 600_000)
+	requireRange("caller_read_millis", s.CallerReadMillis, 100, 600_000)
+	requireRange("ahead_seconds", s.AheadSeconds, 1, 600)
 	peer, caller := s.PeerTLS, s.CallerTLS
-	peerWhole := peer.Certificate != "" && peer.Key != "" && peer.Authority != ""
-	require(peer == TLSFiles{} || peerWhole, "peer_tls", peer, "certificate, key and authority, or none of them")
-	callerWhole := caller.Certificate != "" && caller.Key != "" && caller.Authority == ""
-	require(caller == TLSFiles{} || callerWhole, "caller_tls", caller, "certificate and key, or none of them")
-	hashed := s.AdminTokenSHA256 == "" || len(s.AdminTokenSHA256) == 64
-	require(hashed, "admin_token_sha256", s.AdminTokenSHA256, "64 hexadecimal digits, or empty")
+	peerComplete := peer.Certificate != "" && peer.Key != "" && peer.Authority != ""
+	require(peer == TLSFiles{} || peerComplete, "peer_tls", peer, "certificate, key and authority, or none of them")
+	callerComplete := caller.Certificate != "" && caller.Key != "" && caller.Authority == ""
+	require(caller == TLSFiles{} || callerComplete, "caller_tls", caller, "certificate and key, or none of them")
+	validHash := s.AdminTokenSHA256 == "" || len(s.AdminTokenSHA256) == 64
+	require(validHash, "admin_token_sha256", s.AdminTokenSHA256, "64 hexadecimal digits, or empty")
 	return c.faults
 }
 
-// StoreTimeout returns the bound on one platform call.
+// StoreTimeout returns the timeout of one call to the platform.
 func (s *Settings) StoreTimeout() time.Duration {
 	return time.Duration(s.StoreTimeoutMillis) * time.Millisecond
 }
 
-// CallerRead returns the bound on the reading of one caller's request.
+// CallerReadTimeout returns the timeout for reading one caller's request.
 func (s *Settings) CallerRead() time.Duration {
 	return time.Duration(s.CallerReadMillis) * time.Millisecond
 }
 
-// DrainDelay returns how long a stopping instance still takes requests.
+// DrainDelay returns how long a stopping instance still accepts requests.
 func (s *Settings) DrainDelay() time.Duration {
 	return time.Duration(s.DrainDelayMillis) * time.Millisecond
 }
 
-// Heartbeat returns the time between heartbeats to a peer.
+// HeartbeatInterval returns the time between heartbeats to a peer.
 func (s *Settings) Heartbeat() time.Duration {
 	return time.Duration(s.HeartbeatMillis) * time.Millisecond
 }
 
-// PeerSilent returns how long a peer may be silent before others work around it.
+// PeerSilenceTimeout returns how long a peer may be silent before other instances stop relying on it.
 func (s *Settings) PeerSilent() time.Duration {
 	return time.Duration(s.PeerSilentMillis) * time.Millisecond
 }
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -35,7 +35,7 @@
 			}
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got %v, want an InvalidError", err)
 			}
 			text := err.Error()
 			if !strings.Contains(text, "i.toml: "+c.key) || !strings.Contains(text, "allowed is") {
