--- a/pkg/eventlog/catalogue.go
+++ b/pkg/eventlog/catalogue.go
@@ -1,9 +1,9 @@
 package eventlog
 
-// Number identifies a kind of event. Numbers are never reused.
+// Number identifies a kind of event. The number of a removed kind is never reused.
 type Number int
 
-// The event numbers, by duty. docs/EVENTS.md is checked against Catalogue.
+// The event numbers, grouped by subsystem.
 const (
 	InstanceStarting  Number = 100
 	InstanceReady     Number = 101
@@ -66,17 +66,17 @@
 	UpstreamUnidentified Number = 611
 )
 
-// Description tells what an event means and what to do about it.
+// Description describes a kind of event to operators.
 type Description struct {
 	// Name is the event's name in logs.
 	Name string
-	// Meaning says what has happened.
+	// Meaning describes what has happened.
 	Meaning string
-	// Action says what an operator does.
+	// Action is what an operator should do about it.
 	Action string
 }
 
-// Catalogue describes every event.
+// Catalogue describes all kinds of events. docs/EVENTS.md is generated from it and checked against it.
 var Catalogue = map[Number]Description{
 	InstanceStarting:  {"instance-starting", "the process has read its settings", "none"},
 	InstanceReady:     {"instance-ready", "the instance serves callers", "none"},
--- a/pkg/eventlog/catalogue_test.go
+++ b/pkg/eventlog/catalogue_test.go
@@ -12,9 +12,9 @@
 
 var update = flag.Bool("update", false, "rewrite docs/EVENTS.md")
 
-const page = "../../docs/EVENTS.md"
+const pagePath = "../../docs/EVENTS.md"
 
-func render() string {
+func renderPage() string {
 	var b strings.Builder
 	b.WriteString("# Events\n\nEach line of an instance's log is one event in JSON: `time`, `process`, `seq` (the process's own " +
 		"order), `event` (the number), `msg` (the name), `request` where there is one, and `fields`. " +
@@ -27,23 +27,23 @@
 	return b.String()
 }
 
-// The page and the catalogue must agree, or operators look up the wrong thing.
+// docs/EVENTS.md must agree with the catalogue, or operators look up wrong descriptions.
 func TestPageMatchesCatalogue(t *testing.T) {
 	if *update {
-		if err := os.WriteFile(page, []byte(render()), 0o644); err != nil {
+		if err := os.WriteFile(pagePath, []byte(renderPage()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := os.ReadFile(page)
+	got, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(got) != render() {
+	if string(got) != renderPage() {
 		t.Error("docs/EVENTS.md differs from the catalogue; run go test ./pkg/eventlog -update")
 	}
 }
 
-// Two events under one name could not be told apart in a time line.
+// Two kinds of events with the same name could not be distinguished in a time line.
 func TestNamesAreUnique(t *testing.T) {
 	seen := map[string]Number{}
 	for number, d := range Catalogue {
--- a/pkg/eventlog/log.go
+++ b/pkg/eventlog/log.go
@@ -1,5 +1,5 @@
-// Package eventlog writes numbered events as JSON lines and keeps the newest in
-// memory, so that one time line over all processes can be made from them.
+// Package eventlog writes numbered events as JSON lines, from which one time line
+// over all processes can be made, and keeps the latest events in memory.
 package eventlog
 
 import (
@@ -10,26 +10,27 @@
 	"github.com/sirupsen/logrus"
 )
 
-// recentEvents bounds the events an instance keeps to be asked for.
-const recentEvents = 1024
+// maxRecentEvents is the number of latest events that a Log always keeps in memory; it drops
+// older ones when it holds twice as many.
+const maxRecentEvents = 1024
 
-// Fields carries an event's typed values by name.
+// Fields holds an event's values by field name.
 type Fields = logrus.Fields
 
-// Event is one entry of a log.
+// Event is one event in a log.
 type Event struct {
-	// Time is when the process wrote it, by its own clock.
+	// Time is the time at which the process wrote the event, by its own clock.
 	Time time.Time `json:"time"`
-	// Process names the writer.
+	// Process is the name of the process that wrote the event.
 	Process string `json:"process"`
-	// Seq orders the events of one process.
+	// Seq is the event's sequence number within its process.
 	Seq uint64 `json:"seq"`
-	// Number and Name identify the kind.
+	// Number and Name identify the kind of event.
 	Number Number `json:"event"`
 	Name   string `json:"msg"`
-	// Request is the request's id, where there is one.
+	// Request is the id of the request that the event belongs to, if any.
 	Request string `json:"request,omitempty"`
-	// Fields holds the rest.
+	// Fields holds the other values.
 	Fields Fields `json:"fields,omitempty"`
 }
 
@@ -37,7 +38,7 @@
 type Log struct {
 	process string
 	logger  *logrus.Logger
-	// allow is asked before a line is made; nil allows all.
+	// allow reports whether a line may be written, before it is formatted; nil allows all lines.
 	allow func() bool
 
 	mu     sync.Mutex
@@ -45,13 +46,13 @@
 	recent []Event
 }
 
-// New returns a log that writes JSON lines to out.
+// New returns a log that writes JSON lines to out. If out is a BoundedWriter, its bounds apply.
 func New(process string, out io.Writer) *Log {
 	logger := logrus.New()
 	logger.SetOutput(out)
 	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	log := &Log{process: process, logger: logger}
-	if bounded, ok := out.(*Bounded); ok {
+	if bounded, ok := out.(*BoundedWriter); ok {
 		log.allow = bounded.Allow
 	}
 	return log
@@ -94,13 +95,13 @@
 		Fields:  fields,
 	}
 	l.recent = append(l.recent, event)
-	if len(l.recent) >= 2*recentEvents {
-		l.recent = append([]Event(nil), l.recent[recentEvents:]...)
+	if len(l.recent) >= 2*maxRecentEvents {
+		l.recent = append([]Event(nil), l.recent[maxRecentEvents:]...)
 	}
 	return event
 }
 
-// Recent returns the newest events, oldest first, for one request or for all
+// Recent returns the events in memory, oldest first: those of one request, or all
 // if request is empty.
 func (l *Log) Recent(request string) []Event {
 	l.mu.Lock()
