--- a/pkg/configsync/accept.go
+++ b/pkg/configsync/accept.go
@@ -12,9 +12,10 @@
 )
 
 // Accept validates a document that an operator wrote and records it under a new
-// generation, or records why not and leaves what is in force. Any number of
-// instances may do it at once: of their conditional writes one takes effect, and
-// the others find the document's version recorded.
+// generation. An invalid document is recorded as rejected, with the reason, and
+// the document in force stays. Several instances may accept the same document
+// concurrently: one of their conditional writes succeeds, and the others find
+// the document's version already recorded.
 func (s *Syncer) Accept(ctx context.Context, object store.Object) error {
 	service := strings.TrimPrefix(object.Key, DocumentPrefix)
 	doc, err := document.Parse(object.Value)
@@ -25,7 +26,7 @@
 	if err != nil {
 		return s.reject(ctx, service, object.Position, err)
 	}
-	accepted, err := s.record(ctx, service, object)
+	accepted, err := s.recordAccepted(ctx, service, object)
 	if err != nil {
 		return err
 	}
@@ -33,7 +34,7 @@
 	return err
 }
 
-func (s *Syncer) record(ctx context.Context, service string, object store.Object) (Accepted, error) {
+func (s *Syncer) recordAccepted(ctx context.Context, service string, object store.Object) (Accepted, error) {
 	var accepted Accepted
 	var written bool
 	err := store.Update(ctx, s.store, AcceptedPrefix+service, func(value []byte) ([]byte, error) {
@@ -74,16 +75,17 @@
 	return s.writeStatus(ctx, Status{Service: service, DocumentVersion: version, Reason: cause.Error()})
 }
 
-// writeStatus records what became of a document unless a newer one is recorded.
+// writeStatus stores whether a document was accepted or rejected, unless the
+// status of this or a newer version of the document is already stored.
 func (s *Syncer) writeStatus(ctx context.Context, status Status) error {
 	return store.Update(ctx, s.store, StatusPrefix+status.Service, func(value []byte) ([]byte, error) {
-		var present Status
+		var stored Status
 		if value != nil {
-			if err := json.Unmarshal(value, &present); err != nil {
+			if err := json.Unmarshal(value, &stored); err != nil {
 				return nil, err
 			}
 		}
-		if !present.DocumentVersion.Before(status.DocumentVersion) {
+		if !stored.DocumentVersion.Before(status.DocumentVersion) {
 			return nil, store.ErrUnchanged
 		}
 		return json.Marshal(status)
--- a/pkg/configsync/emptied.go
+++ b/pkg/configsync/emptied.go
@@ -7,60 +7,62 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// EmptiedKey holds the failure domains that operators have emptied. It is of the kind that instances
-// watch anyway.
-const EmptiedKey = Kind + "/emptied"
+// EmptiedDomainsKey is the key of the object that lists the failure domains emptied by operators. It
+// is under Kind, which instances watch already, so that it needs no watch of its own.
+const EmptiedDomainsKey = Kind + "/emptied"
 
-// EmptiedName stands for them where instances tell each other what they have: no service has it.
-const EmptiedName = "/emptied"
+// EmptiedDomainsName takes the place of a service name where instances exchange the generation and
+// contents of the emptied domains. No service can have this name.
+const EmptiedDomainsName = "/emptied"
 
-// Emptied are the failure domains whose upstreams are to get nothing.
-type Emptied struct {
-	// Generation rises with each change, also where the store went back in between.
+// EmptiedDomains lists the failure domains whose upstreams get no new requests.
+type EmptiedDomains struct {
+	// Generation increases with each change, even if the store was rolled back between two changes.
 	Generation uint64 `json:"generation"`
-	// Domains are in order.
+	// Domains are sorted by name.
 	Domains []string `json:"domains"`
 }
 
-// DecodeEmptied reads the object's value.
-func DecodeEmptied(value []byte) (Emptied, error) {
-	var e Emptied
+// DecodeEmptiedDomains decodes the value of the object at EmptiedDomainsKey.
+func DecodeEmptiedDomains(value []byte) (EmptiedDomains, error) {
+	var e EmptiedDomains
 	if err := json.Unmarshal(value, &e); err != nil {
-		return Emptied{}, fmt.Errorf("decode emptied domains: %w", err)
+		return EmptiedDomains{}, fmt.Errorf("decode emptied domains: %w", err)
 	}
 	return e, nil
 }
 
-// Emptied returns the emptied domains in force.
-func (s *State) Emptied() Emptied { return *s.emptied.Load() }
+// EmptiedDomains returns the emptied domains in force.
+func (s *State) EmptiedDomains() EmptiedDomains { return *s.emptiedDomains.Load() }
 
-// ApplyEmptied brings emptied domains into force if their generation is higher than that in force, and
-// reports whether it did.
-func (s *State) ApplyEmptied(e Emptied) bool {
+// ApplyEmptiedDomains brings emptied domains into force if their generation is higher than the one in
+// force, and reports whether it did.
+func (s *State) ApplyEmptiedDomains(e EmptiedDomains) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.Emptied()
+	before := s.EmptiedDomains()
 	if e.Generation <= before.Generation {
 		return false
 	}
-	s.emptied.Store(&e)
-	s.onEmptied(before, e)
+	s.emptiedDomains.Store(&e)
+	s.onEmptiedDomains(before, e)
 	return true
 }
 
-// ApplyEmptied takes emptied domains from a peer or the store.
-func (s *Syncer) ApplyEmptied(e Emptied) {
-	if s.state.ApplyEmptied(e) {
-		s.spread()
+// ApplyEmptiedDomains applies emptied domains received from a peer or read from the store, and notifies
+// the peers if they are new.
+func (s *Syncer) ApplyEmptiedDomains(e EmptiedDomains) {
+	if s.state.ApplyEmptiedDomains(e) {
+		s.notifyPeers()
 	}
 }
 
-// takeEmptied applies the object of the emptied domains.
-func (s *Syncer) takeEmptied(object store.Object) {
-	e, err := DecodeEmptied(object.Value)
+// handleEmptiedDomains decodes and applies the object at EmptiedDomainsKey.
+func (s *Syncer) handleEmptiedDomains(object store.Object) {
+	e, err := DecodeEmptiedDomains(object.Value)
 	if err != nil {
-		s.tellBad(err)
+		s.logRejected(err)
 		return
 	}
-	s.ApplyEmptied(e)
+	s.ApplyEmptiedDomains(e)
 }
--- a/pkg/configsync/lost_test.go
+++ b/pkg/configsync/lost_test.go
@@ -12,38 +12,38 @@
 	"github.com/lavenderring/lavenderring/pkg/store/storefake"
 )
 
-// silentStore is a store whose watches can be lost: while it is silent it takes them and
-// answers none, also later; connections stand all the while.
-type silentStore struct {
+// unresponsiveStore is a store that can lose watches: a watch that arrives while it is unresponsive is
+// never answered, not even after it has recovered. Connections stay open throughout.
+type unresponsiveStore struct {
 	*storefake.Store
-	mu       sync.Mutex
-	silent   bool
-	document store.Object
+	mu           sync.Mutex
+	unresponsive bool
+	document     store.Object
 }
 
-func (s *silentStore) set(silent bool, version store.Position) {
+func (s *unresponsiveStore) set(unresponsive bool, version store.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = silent
+	s.unresponsive = unresponsive
 	if s.document.Position.Before(version) {
 		s.document = store.Object{Key: DocumentPrefix + "s", Position: version, Value: documentText(int64(version.Version))}
 	}
 }
 
-func (s *silentStore) get() (silent bool, document store.Object) {
+func (s *unresponsiveStore) get() (unresponsive bool, document store.Object) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.silent, s.document
+	return s.unresponsive, s.document
 }
 
 // List implements store.Watcher.
-func (s *silentStore) List(context.Context, string) (store.Listing, error) {
+func (s *unresponsiveStore) List(context.Context, string) (store.Listing, error) {
 	_, document := s.get()
 	return store.Listing{Objects: []store.Object{document}, Position: document.Position}, nil
 }
 
 // Watch implements store.Watcher.
-func (s *silentStore) Watch(ctx context.Context, _ string, since store.Position, wait time.Duration) (store.Changes, error) {
+func (s *unresponsiveStore) Watch(ctx context.Context, _ string, since store.Position, wait time.Duration) (store.Changes, error) {
 	lost, _ := s.get()
 	for range int(wait / (10 * time.Millisecond)) {
 		time.Sleep(10 * time.Millisecond)
@@ -52,19 +52,20 @@
 		}
 	}
 	if lost {
-		time.Sleep(time.Second) // the client's own bound
+		time.Sleep(time.Second) // the store client's own timeout
 		return store.Changes{}, context.DeadlineExceeded
 	}
 	return store.Changes{Position: since}, ctx.Err()
 }
 
-// Operators write a document after a short outage of the store, and callers are served by the
-// old one for twenty seconds. The watch that was sent into the outage is never answered, and the
-// instance that watches for its failure domain waits for it to its end; all others learn from it.
+// A watch that is sent during a short outage of the store is never answered. If the instance that
+// watches for its failure domain waited long for that answer, a document written after the outage
+// would come into force late, on all instances that learn of it from this one. With a watch timeout
+// of 20 s, callers were served by the old document for that long.
 func TestLostWatchHidesNoDocument(t *testing.T) {
 	const inForceWithin = 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		s := &silentStore{Store: storefake.New(1)}
+		s := &unresponsiveStore{Store: storefake.New(1)}
 		s.set(false, store.At(1))
 		state := NewState(func(*InForce) {})
 		syncer := NewSyncer(s, state, eventlog.Discard("test"), func() bool { return true }, func() {})
@@ -72,7 +73,7 @@
 		var running sync.WaitGroup
 		running.Go(func() { syncer.Run(ctx) })
 		time.Sleep(time.Second)
-		s.set(true, store.At(2)) // ends the watch under way; the next one is lost
+		s.set(true, store.At(2)) // answers the watch in progress; the next one is lost
 		time.Sleep(time.Second)
 		s.set(false, store.At(3))
 		time.Sleep(inForceWithin)
--- a/pkg/configsync/state.go
+++ b/pkg/configsync/state.go
@@ -1,5 +1,7 @@
-// Package configsync brings accepted service documents into force: it accepts
-// what operators write, applies only what is newer, and spreads it.
+// Package configsync synchronizes service documents between the store and the
+// instances: it validates and accepts the documents that operators write,
+// applies an accepted document only if it is newer than the one in force, and
+// notifies the peers.
 package configsync
 
 import (
@@ -12,97 +14,99 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Prefixes of the objects.
+// Kind and key prefixes of the objects in the store.
 const (
-	// Kind is the kind of everything that instances watch.
+	// Kind is the kind of all objects that instances watch.
 	Kind = "service-documents"
-	// DocumentPrefix holds what operators write.
+	// DocumentPrefix is the prefix of documents written by operators.
 	DocumentPrefix = Kind + "/documents/"
-	// AcceptedPrefix holds what instances accepted.
+	// AcceptedPrefix is the prefix of documents accepted by instances.
 	AcceptedPrefix = Kind + "/accepted/"
-	// StatusPrefix holds, by service, what became of the newest document.
+	// StatusPrefix is the prefix of each service's Status.
 	StatusPrefix = "status/"
 )
 
-// Accepted is a validated document under its generation.
+// Accepted is a validated document with its generation.
 type Accepted struct {
 	// Service names the service.
 	Service string `json:"service"`
-	// Generation rises by one with each accepted document.
+	// Generation increases by one with each accepted document of the service.
 	Generation uint64 `json:"generation"`
-	// DocumentVersion is the platform's version of the document accepted.
+	// DocumentVersion is the store's version of the accepted document.
 	DocumentVersion store.Position `json:"document_version"`
-	// Text is the document.
+	// Text is the document as written, in TOML.
 	Text []byte `json:"text"`
 }
 
-// Status tells operators what became of the newest document.
+// Status tells operators whether a service's newest document was accepted.
 type Status struct {
 	Service         string         `json:"service"`
 	DocumentVersion store.Position `json:"document_version"`
 	Accepted        bool           `json:"accepted"`
-	// Reason says why it was not accepted.
+	// Reason says why the document was rejected.
 	Reason string `json:"reason,omitempty"`
 }
 
-// InForce is one service's document as this instance works by it.
+// ActiveDocument is the document of one service that is in force on this instance.
 type InForce struct {
 	Accepted
 	Document *document.Document
 }
 
-// Snapshot is everything in force at one moment. It is never changed.
+// Snapshot holds all documents in force at one moment. It is immutable.
 type Snapshot struct {
 	// Services holds the documents by service.
 	Services map[string]*InForce
-	// accounts finds an account by its key's hash.
-	accounts map[string]AccountRef
-	shared   map[string]bool
+	// accountsByKey is indexed by the hash of the account's API key.
+	accountsByKey map[string]AccountRef
+	// sharedKeys holds the hashes that more than one account declares.
+	sharedKeys map[string]bool
 }
 
-// AccountRef is a client account within its service.
+// AccountRef is a client account and the document that declares it.
 type AccountRef struct {
 	Service *InForce
 	Account *document.Account
 }
 
-// Account finds the account of an API key. A key that two services declare
-// belongs to neither: it could bill the wrong one.
+// Account returns the account that an API key belongs to. A key that two services
+// declare is not found, because a request with it could be billed to the wrong one.
 func (s *Snapshot) Account(key string) (AccountRef, bool) {
 	hash := document.HashKey(key)
-	if s.shared[hash] {
+	if s.sharedKeys[hash] {
 		return AccountRef{}, false
 	}
-	ref, found := s.accounts[hash]
+	ref, found := s.accountsByKey[hash]
 	return ref, found
 }
 
-// State holds what is in force. Readers never wait.
+// State holds the documents and emptied domains in force. Reads do not block.
 type State struct {
 	mu       sync.Mutex
 	snapshot atomic.Pointer[Snapshot]
 	onApply  func(*InForce)
 
-	emptied   atomic.Pointer[Emptied]
-	onEmptied func(before, now Emptied)
+	emptiedDomains   atomic.Pointer[EmptiedDomains]
+	onEmptiedDomains func(before, now EmptiedDomains)
 }
 
-// NewState returns a state with nothing in force; onApply is told of each
-// document that comes into force.
+// NewState returns a state with nothing in force. onApply is called, with the
+// state locked, for each document that comes into force.
 func NewState(onApply func(*InForce)) *State {
-	s := &State{onApply: onApply, onEmptied: func(Emptied, Emptied) {}}
+	s := &State{onApply: onApply, onEmptiedDomains: func(EmptiedDomains, EmptiedDomains) {}}
 	s.snapshot.Store(&Snapshot{Services: map[string]*InForce{}})
-	s.emptied.Store(&Emptied{})
+	s.emptiedDomains.Store(&EmptiedDomains{})
 	return s
 }
 
-// OnEmptied sets what is told of emptied domains that come into force; before the state is used.
-func (s *State) OnEmptied(call func(before, now Emptied)) { s.onEmptied = call }
+// OnEmptiedDomains sets the function that is called when a change of the emptied domains comes into
+// force. It must be called before the state is used.
+func (s *State) OnEmptiedDomains(call func(before, now EmptiedDomains)) { s.onEmptiedDomains = call }
 
-// Snapshot returns what is in force.
+// Snapshot returns the documents in force.
 func (s *State) Snapshot() *Snapshot { return s.snapshot.Load() }
 
-// Generation returns the generation in force for a service; 0 if none.
+// Generation returns the generation in force for a service, or 0 if there is none.
 func (s *State) Generation(service string) uint64 {
 	if f := s.Snapshot().Services[service]; f != nil {
 		return f.Generation
@@ -112,7 +116,7 @@
 
 // Apply brings an accepted document into force if its generation is higher than
 // the one in force, and reports whether it did. A late or stale answer of the
-// store or of a peer therefore never takes a newer document out of force.
+// store or of a peer therefore never replaces a newer document.
 func (s *State) Apply(a Accepted) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,16 +128,16 @@
 		return false, fmt.Errorf("apply generation %d of %s: %w", a.Generation, a.Service, err)
 	}
 	next := &InForce{Accepted: a, Document: doc}
-	s.snapshot.Store(s.Snapshot().with(next))
+	s.snapshot.Store(s.Snapshot().withDocument(next))
 	s.onApply(next)
 	return true, nil
 }
 
-func (s *Snapshot) with(next *InForce) *Snapshot {
+func (s *Snapshot) withDocument(next *InForce) *Snapshot {
 	out := &Snapshot{
-		Services: map[string]*InForce{next.Service: next},
-		accounts: map[string]AccountRef{},
-		shared:   map[string]bool{},
+		Services:      map[string]*InForce{next.Service: next},
+		accountsByKey: map[string]AccountRef{},
+		sharedKeys:    map[string]bool{},
 	}
 	for name, f := range s.Services {
 		if name != next.Service {
@@ -141,22 +145,22 @@
 		}
 	}
 	for _, f := range out.Services {
-		out.index(f)
+		out.addAccounts(f)
 	}
 	return out
 }
 
-func (s *Snapshot) index(f *InForce) {
+func (s *Snapshot) addAccounts(f *InForce) {
 	for i := range f.Document.Accounts {
 		account := &f.Document.Accounts[i]
-		if _, taken := s.accounts[account.KeySHA256]; taken {
-			s.shared[account.KeySHA256] = true
+		if _, taken := s.accountsByKey[account.KeySHA256]; taken {
+			s.sharedKeys[account.KeySHA256] = true
 		}
-		s.accounts[account.KeySHA256] = AccountRef{Service: f, Account: account}
+		s.accountsByKey[account.KeySHA256] = AccountRef{Service: f, Account: account}
 	}
 }
 
-// DecodeAccepted reads an accepted object's value.
+// DecodeAccepted decodes the value of an object under AcceptedPrefix.
 func DecodeAccepted(value []byte) (Accepted, error) {
 	var a Accepted
 	if err := json.Unmarshal(value, &a); err != nil {
--- a/pkg/configsync/state_test.go
+++ b/pkg/configsync/state_test.go
@@ -30,7 +30,7 @@
 `, document.HashKey("key"), prepaid)
 }
 
-// noList gives a fake store the calls that this test does not make.
+// noList adds to the fake store the List and Watch methods that this test does not use.
 type noList struct{ *storefake.Store }
 
 func (noList) List(context.Context, string) (store.Listing, error) { return store.Listing{}, nil }
@@ -39,22 +39,23 @@
 	return store.Changes{}, nil
 }
 
-// Several instances accept what operators write, at once, late, and from old
-// watch events, while the store loses answers; peers pass on what they have in
-// any order. No instance ever goes back, and in the end all work by the newest.
+// Several instances accept documents concurrently, late, and from old watch
+// events, while the store loses answers, and peers send the documents that they
+// have in any order. No instance may return to an older generation, and in the end the
+// newest document must be in force on all of them.
 func TestConfigurationNeverReverts(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
 	properties.Property("generations only rise, and follow the documents", prop.ForAll(func(seed uint64) string {
 		failure := ""
-		synctest.Test(t, func(t *testing.T) { failure = configHistory(t.Context(), seed) })
+		synctest.Test(t, func(t *testing.T) { failure = runRandomHistory(t.Context(), seed) })
 		return failure
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-func configHistory(ctx context.Context, seed uint64) string {
+func runRandomHistory(ctx context.Context, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 10))
 	fake := storefake.New(seed)
 	var syncers []*Syncer
@@ -69,7 +70,7 @@
 		})
 		syncers = append(syncers, NewSyncer(noList{fake}, state, eventlog.Discard("test"), nil, func() {}))
 	}
-	var events []store.Object // every version ever stored, as late watches deliver it
+	var events []store.Object // every version ever stored, as late watch answers deliver them
 	var newest store.Object
 	for range 60 {
 		fake.SetFaults(rng.IntN(8) == 0, 0.3*rng.Float64())
@@ -113,7 +114,7 @@
 	for n, s := range syncers {
 		f := s.state.Snapshot().Services["s"]
 		if f == nil || f.DocumentVersion != object.Position {
-			return fmt.Sprintf("instance %d does not work by version %d (an operator saw %d)", n, object.Position, newest.Position)
+			return fmt.Sprintf("instance %d does not have version %d in force (an operator read version %d)", n, object.Position, newest.Position)
 		}
 	}
 	return ""
--- a/pkg/configsync/syncer.go
+++ b/pkg/configsync/syncer.go
@@ -12,68 +12,71 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Pace of the slow ways that back up the fast ones.
+// Timeouts and intervals of the calls to the store.
 const (
-	// watchWait bounds one waiting watch. An answer that is lost leaves a connection that
-	// stands, so nothing but the end of the wait tells of it: with the store client's bound
-	// (1 s) and retryPause it stays within the 4 s in which a document is to be in force. At
-	// eight failure domains that is 4 calls a second; 20 s were 0.4.
-	watchWait = 2 * time.Second
-	// pollEvery is how often an instance that does not watch reads the store.
-	pollEvery = 30 * time.Second
-	// retryPause is the pause after a failed call to the store.
-	retryPause = 500 * time.Millisecond
-	// roleCheckEvery is how often an instance asks whether it is to watch.
-	roleCheckEvery = time.Second
+	// watchTimeout bounds one long-polling watch. If its answer is lost, the connection stays
+	// open, so that only this timeout reveals the loss. Together with the store client's timeout
+	// (1 s) and retryDelay it stays within the 4 s in which a document must come into force.
+	// With eight failure domains this costs 4 calls a second; 20 s would cost 0.4.
+	watchTimeout = 2 * time.Second
+	// pollInterval is how often an instance that does not watch reads the store, in case a
+	// peer's notification was lost.
+	pollInterval = 30 * time.Second
+	// retryDelay is the delay after a failed call to the store.
+	retryDelay = 500 * time.Millisecond
+	// roleCheckInterval is how often an instance that does not watch checks whether it should.
+	roleCheckInterval = time.Second
 )
 
-// Syncer keeps the state up to date from the store.
+// Syncer updates a State from the store and from peers.
 type Syncer struct {
-	store   store.Watcher
-	state   *State
-	log     *eventlog.Log
-	watcher func() bool
-	spread  func()
+	store       store.Watcher
+	state       *State
+	log         *eventlog.Log
+	isWatcher   func() bool
+	notifyPeers func()
 }
 
-// NewSyncer returns a syncer. watcher tells whether this instance is to watch
-// the store; spread is called when a document has come into force, to tell peers.
-func NewSyncer(source store.Watcher, state *State, log *eventlog.Log, watcher func() bool, spread func()) *Syncer {
-	return &Syncer{store: source, state: state, log: log, watcher: watcher, spread: spread}
+// NewSyncer returns a syncer. isWatcher reports whether this instance should
+// watch the store. notifyPeers is called after a document or a change of the
+// emptied domains has come into force.
+func NewSyncer(source store.Watcher, state *State, log *eventlog.Log, isWatcher func() bool, notifyPeers func()) *Syncer {
+	return &Syncer{store: source, state: state, log: log, isWatcher: isWatcher, notifyPeers: notifyPeers}
 }
 
-// Load reads everything once.
+// Load reads all objects from the store once and applies them.
 func (s *Syncer) Load(ctx context.Context) error {
 	_, err := s.load(ctx)
 	return err
 }
 
-// load reads everything and returns the store's version that it is of.
+// load reads and applies all objects and returns the store position of the listing.
 func (s *Syncer) load(ctx context.Context) (store.Position, error) {
 	list, err := s.store.List(ctx, Kind)
 	if err != nil {
 		return store.NoPosition, err
 	}
-	s.take(ctx, list.Objects)
+	s.handleObjects(ctx, list.Objects)
 	return list.Position, nil
 }
 
-// Run watches or polls the store until ctx ends. Few instances watch; a
-// waiting watch counts as a call, and the rest learn from peers.
+// Run watches or polls the store until ctx ends. Only a few instances watch,
+// because each pending watch counts as a call to the store; the others receive
+// changes from peers.
 func (s *Syncer) Run(ctx context.Context) {
 	lastPoll := time.Now()
 	since := store.NoPosition
 	for ctx.Err() == nil {
-		if s.watcher() {
+		if s.isWatcher() {
 			since = s.watchOnce(ctx, since)
 			continue
 		}
 		since = store.NoPosition
-		if time.Since(lastPoll) >= pollEvery {
-			lastPoll = time.Now().Add(rand.N(pollEvery / 4))
+		if time.Since(lastPoll) >= pollInterval {
+			lastPoll = time.Now().Add(rand.N(pollInterval / 4))
 			_ = s.Load(ctx)
 		}
-		pause.For(ctx, roleCheckEvery)
+		pause.For(ctx, roleCheckInterval)
 	}
 }
 
@@ -81,18 +84,18 @@
 	if since == store.NoPosition {
 		listed, err := s.load(ctx)
 		if err != nil {
-			pause.For(ctx, retryPause)
+			pause.For(ctx, retryDelay)
 			return since
 		}
 		since = listed
 	}
-	answer, err := s.store.Watch(ctx, Kind, since, watchWait)
+	answer, err := s.store.Watch(ctx, Kind, since, watchTimeout)
 	if errors.Is(err, store.ErrHistoryGone) {
 		return store.NoPosition
 	}
 	if err != nil {
 		s.log.Event(eventlog.WatchFailed, "", eventlog.Fields{"copy": Kind, "cause": err.Error()})
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 		return since
 	}
 	var changed []store.Object
@@ -101,16 +104,16 @@
 			changed = append(changed, change.Object)
 		}
 	}
-	s.take(ctx, changed)
+	s.handleObjects(ctx, changed)
 	return store.Later(answer.Position, since)
 }
 
-// take applies accepted objects first: whoever starts late need not accept
-// anything anew.
-func (s *Syncer) take(ctx context.Context, objects []store.Object) {
+// handleObjects applies the emptied domains and the accepted documents first, so that
+// an instance that starts late does not accept a document again.
+func (s *Syncer) handleObjects(ctx context.Context, objects []store.Object) {
 	for _, object := range objects {
-		if object.Key == EmptiedKey {
-			s.takeEmptied(object)
+		if object.Key == EmptiedDomainsKey {
+			s.handleEmptiedDomains(object)
 		}
 		if strings.HasPrefix(object.Key, AcceptedPrefix) {
 			if accepted, err := DecodeAccepted(object.Value); err == nil {
@@ -119,22 +122,22 @@
 		}
 	}
 	for _, object := range objects {
-		if strings.HasPrefix(object.Key, DocumentPrefix) && s.unknown(object) {
-			_ = s.Accept(ctx, object) // tried again at the next watch or poll
+		if strings.HasPrefix(object.Key, DocumentPrefix) && s.isNewer(object) {
+			_ = s.Accept(ctx, object) // retried at the next watch or poll
 		}
 	}
 }
 
-func (s *Syncer) tellBad(err error) {
+func (s *Syncer) logRejected(err error) {
 	s.log.Event(eventlog.ConfigRejected, "", eventlog.Fields{"reason": err.Error()})
 }
 
-func (s *Syncer) unknown(object store.Object) bool {
+func (s *Syncer) isNewer(object store.Object) bool {
 	f := s.state.Snapshot().Services[strings.TrimPrefix(object.Key, DocumentPrefix)]
 	return f == nil || f.DocumentVersion.Before(object.Position)
 }
 
-// Apply takes an accepted document from a peer.
+// Apply applies an accepted document received from a peer.
 func (s *Syncer) Apply(a Accepted) { _, _ = s.apply(a) }
 
 func (s *Syncer) apply(a Accepted) (bool, error) {
@@ -143,6 +146,6 @@
 		return applied, err
 	}
 	s.log.Event(eventlog.ConfigInForce, "", eventlog.Fields{"service": a.Service, "generation": a.Generation})
-	s.spread()
+	s.notifyPeers()
 	return true, nil
 }
--- a/pkg/instance/admin.go
+++ b/pkg/instance/admin.go
@@ -99,7 +99,7 @@
 		Members:     i.table.View(),
 		Grants:      i.budgets.Holder().View(),
 		Quarantine:  i.quarantine.Summary(),
-		Emptied:     i.config.Emptied().Domains,
+		Emptied:     i.config.EmptiedDomains().Domains,
 	}
 	status.StoreUp = i.tie.Up()
 	for _, f := range i.config.Snapshot().Services {
--- a/pkg/instance/domains.go
+++ b/pkg/instance/domains.go
@@ -8,7 +8,7 @@
 )
 
 // onEmptied is told of emptied domains that come into force.
-func (i *Instance) onEmptied(before, now configsync.Emptied) {
+func (i *Instance) onEmptied(before, now configsync.EmptiedDomains) {
 	i.entry.SetEmptied(now.Domains)
 	for _, domain := range now.Domains {
 		if !slices.Contains(before.Domains, domain) {
--- a/pkg/instance/instance.go
+++ b/pkg/instance/instance.go
@@ -176,7 +176,7 @@
 		},
 	}
 	i.config = configsync.NewState(i.onConfig)
-	i.config.OnEmptied(i.onEmptied)
+	i.config.OnEmptiedDomains(i.onEmptied)
 	i.syncer = configsync.NewSyncer(i.store, i.config, i.log, i.isWatcher, func() { i.nudge.TryPut(struct{}{}) })
 }
 
--- a/pkg/instance/members.go
+++ b/pkg/instance/members.go
@@ -18,8 +18,8 @@
 	for _, f := range i.config.Snapshot().Services {
 		out = append(out, &memberpb.ServiceGeneration{Service: f.Service, Generation: f.Generation})
 	}
-	if e := i.config.Emptied(); e.Generation > 0 {
-		out = append(out, &memberpb.ServiceGeneration{Service: configsync.EmptiedName, Generation: e.Generation})
+	if e := i.config.EmptiedDomains(); e.Generation > 0 {
+		out = append(out, &memberpb.ServiceGeneration{Service: configsync.EmptiedDomainsName, Generation: e.Generation})
 	}
 	return out
 }
@@ -40,8 +40,8 @@
 
 // FetchConfig implements the members service.
 func (i *Instance) FetchConfig(_ context.Context, req *memberpb.FetchConfigRequest) (*memberpb.Config, error) {
-	if req.Service == configsync.EmptiedName {
-		e := i.config.Emptied()
+	if req.Service == configsync.EmptiedDomainsName {
+		e := i.config.EmptiedDomains()
 		value, err := json.Marshal(e)
 		return &memberpb.Config{Service: req.Service, Generation: e.Generation, Accepted: value}, err
 	}
@@ -74,9 +74,9 @@
 
 // takeConfig takes in what a peer has of a service, or of the emptied domains.
 func (i *Instance) takeConfig(service string, value []byte) {
-	if service == configsync.EmptiedName {
-		if emptied, err := configsync.DecodeEmptied(value); err == nil {
-			i.syncer.ApplyEmptied(emptied)
+	if service == configsync.EmptiedDomainsName {
+		if emptied, err := configsync.DecodeEmptiedDomains(value); err == nil {
+			i.syncer.ApplyEmptiedDomains(emptied)
 		}
 		return
 	}
--- a/pkg/operator/domains.go
+++ b/pkg/operator/domains.go
@@ -36,7 +36,7 @@
 	ctx context.Context, out io.Writer, address, done string, change func(domains []string) []string,
 ) error {
 	client := platform.NewClient(address, callTimeout, nil)
-	err := store.Update(ctx, client, configsync.EmptiedKey, func(present []byte) ([]byte, error) {
+	err := store.Update(ctx, client, configsync.EmptiedDomainsKey, func(present []byte) ([]byte, error) {
 		e, err := emptiedIn(present)
 		if err != nil {
 			return nil, err
@@ -60,7 +60,7 @@
 // ListDomains prints the emptied failure domains.
 func ListDomains(ctx context.Context, out io.Writer, address string, asJSON bool) error {
 	client := platform.NewClient(address, callTimeout, nil)
-	object, err := client.Get(ctx, configsync.EmptiedKey)
+	object, err := client.Get(ctx, configsync.EmptiedDomainsKey)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
@@ -84,9 +84,9 @@
 }
 
 // emptiedIn reads the stored object; nothing is emptied where there is none.
-func emptiedIn(value []byte) (configsync.Emptied, error) {
+func emptiedIn(value []byte) (configsync.EmptiedDomains, error) {
 	if len(value) == 0 {
-		return configsync.Emptied{Domains: []string{}}, nil
+		return configsync.EmptiedDomains{Domains: []string{}}, nil
 	}
-	return configsync.DecodeEmptied(value)
+	return configsync.DecodeEmptiedDomains(value)
 }
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -107,7 +107,7 @@
 try told-meanwhile-is-kept pkg/prepaid/recovery.go 's/told\.serial <= r\.mergedTo/told.serial >= 0/' pkg/prepaid TestWhatIsToldDuringAWriteIsNotLost
 try an-end-counts-once pkg/follow/freshness.go 's/at\.Sub\(s\.returnedAt\) < sameOutage/at.Before(s.returnedAt)/' pkg/follow TestEndOfAnOutageCountsOnceAndAsOfItsTime
 try cut-off-alone-is-no-outage pkg/follow/follow.go 's/outage := !f\.ConfirmedLately\(\)/outage := true/' pkg/follow TestInstanceThatIsCutOffAloneHasNoOutage
-try documents-are-watched-shortly pkg/configsync/syncer.go 's/watchWait = 2 \* time/watchWait = 20 * time/' pkg/configsync TestLostWatchHidesNoDocument
+try documents-are-watched-shortly pkg/configsync/syncer.go 's/watchTimeout = 2 \* time/watchTimeout = 20 * time/' pkg/configsync TestLostWatchHidesNoDocument
 try faulty-entry-is-out platform/copies.go 's/c\.Registry\.Discard\(id\)\n\t\treturn/return/' platform TestFaultyEntriesAreToldOnceAndTheOthersHold
 q=pkg/quarantine
 try three-crashes-condemn $q/record.go 's/return inARow >= CondemnAtMost \|\| \(inARow > 0 && r\.Verdict > r\.Cleared\)/return inARow < 0/' test TestRequestThatCrashesUpstreamsIsSentOnAFewTimesOnly
