--- a/pkg/configsync/accept.go
+++ b/pkg/configsync/accept.go
@@ -20,8 +20,8 @@
 	service := strings.TrimPrefix(object.Key, DocumentPrefix)
 	doc, err := document.Parse(object.Value)
 	if err == nil && doc.Service != service {
-		fault := document.Fault{Key: "service", Value: doc.Service, Allowed: "the document's own name, " + service}
-		err = &document.InvalidError{Faults: []document.Fault{fault}}
+		fieldErr := document.FieldError{Key: "service", Value: doc.Service, Allowed: "the document's own name, " + service}
+		err = &document.InvalidError{FieldErrors: []document.FieldError{fieldErr}}
 	}
 	if err != nil {
 		return s.reject(ctx, service, object.Position, err)
--- a/pkg/document/document.go
+++ b/pkg/document/document.go
@@ -1,6 +1,6 @@
-// Package document holds the service document: what a team declares about its
-// client accounts, their prepaid budgets, its upstreams, and the requests that
-// may not be repeated. It is the only thing operators edit.
+// Package document defines the service document, in which a team declares its
+// client accounts with their prepaid budgets, its upstreams, and the requests
+// that must not be retried. It is the only configuration that operators edit.
 package document
 
 import (
@@ -21,9 +21,10 @@
 
 // States of an upstream in the document.
 const (
-	// StateInService upstreams take new requests.
+	// StateInService is the state of an upstream that gets new requests.
 	StateInService = "in-service"
-	// StateLeaving upstreams finish their requests and take no new ones.
+	// StateLeaving is the state of an upstream that finishes its requests and
+	// gets no new ones.
 	StateLeaving = "leaving"
 )
 
@@ -31,7 +32,7 @@
 type Document struct {
 	// Service names the team's service: lower-case letters, digits and dashes.
 	Service string `toml:"service"`
-	// Limits bounds what callers may send.
+	// Limits bounds the requests of clients.
 	Limits Limits `toml:"limits"`
 	// Accounts lists the client accounts.
 	Accounts []Account `toml:"accounts"`
@@ -39,17 +40,17 @@
 	Pools []Pool `toml:"pools"`
 }
 
-// Limits bounds a caller's requests.
+// Limits bounds the requests of clients.
 type Limits struct {
 	// MaxBodyBytes bounds a request body. Default 262144.
 	MaxBodyBytes int `toml:"max_body_bytes"`
 	// DeadlineMillis bounds a request from its arrival to the first byte of
 	// its answer, in milliseconds. Default 30000.
 	DeadlineMillis int64 `toml:"deadline_millis"`
-	// StreamIdleMillis bounds the silence between two parts of an upstream's
+	// StreamIdleMillis bounds the time between two parts of an upstream's
 	// answer, in milliseconds. Default 10000.
 	StreamIdleMillis int64 `toml:"stream_idle_millis"`
-	// MinBytesPerToken is the least number of UTF-8 bytes that one prompt
+	// MinBytesPerToken is the minimum number of UTF-8 bytes that one prompt
 	// token covers with this service's tokenizers. Default 1, which is safe
 	// for every byte-level tokenizer.
 	MinBytesPerToken int `toml:"min_bytes_per_token"`
@@ -61,10 +62,11 @@
 	Name string `toml:"name"`
 	// KeySHA256 is the SHA-256 of the account's API key, in hexadecimal.
 	KeySHA256 string `toml:"key_sha256"`
-	// PrepaidTokens is all that the account has ever prepaid, in tokens. A
-	// top-up raises it.
+	// PrepaidTokens is the total that the account has prepaid since it was
+	// created, in tokens. A top-up raises it.
 	PrepaidTokens int64 `toml:"prepaid_tokens"`
-	// Weight is the account's share when requests wait. Default 1.
+	// Weight is the account's relative share of the capacity while requests
+	// are queued. Default 1.
 	Weight int `toml:"weight"`
 }
 
@@ -74,24 +76,25 @@
 	Name string `toml:"name"`
 	// Kind is "model" or "plain".
 	Kind string `toml:"kind"`
-	// Model is the model name that callers ask for; model pools only.
+	// Model is the model name that clients request; model pools only.
 	Model string `toml:"model,omitempty"`
 	// MaxOutputTokens bounds one answer's generated tokens; model pools only.
 	MaxOutputTokens int64 `toml:"max_output_tokens,omitempty"`
 	// PriceTokens is what one call of a plain pool costs, in tokens.
 	PriceTokens int64 `toml:"price_tokens,omitempty"`
-	// Urgent pools are started before others when requests wait.
+	// Urgent gives the pool's requests precedence over those of other pools
+	// while requests are queued.
 	Urgent bool `toml:"urgent,omitempty"`
-	// MaxConcurrent bounds the requests that one upstream of the pool works
-	// on for one instance. Default 16.
+	// MaxConcurrent bounds the concurrent requests that one instance sends to
+	// one upstream of the pool. Default 16.
 	MaxConcurrent int `toml:"max_concurrent,omitempty"`
-	// Once lists the requests that may not be repeated.
+	// NonIdempotent lists the requests that must not be retried.
 	Once []Once `toml:"once,omitempty"`
 	// Upstreams lists the pool's upstreams.
 	Upstreams []Upstream `toml:"upstreams"`
 }
 
-// Once names requests that may not be repeated.
+// RequestPattern matches requests by method and path.
 type Once struct {
 	// Method is the HTTP method, in capitals.
 	Method string `toml:"method"`
@@ -105,7 +108,7 @@
 	Name string `toml:"name"`
 	// Address is an IP address and port.
 	Address string `toml:"address"`
-	// Domain is the failure domain it stands in.
+	// Domain is the failure domain that the upstream runs in.
 	Domain string `toml:"domain"`
 	// State is "in-service" (default) or "leaving".
 	State string `toml:"state,omitempty"`
@@ -116,35 +119,37 @@
 	return time.Duration(l.DeadlineMillis) * time.Millisecond
 }
 
-// StreamIdle returns the bound on silence within an answer.
+// StreamIdleTimeout returns the time limit between two parts of an answer.
 func (l Limits) StreamIdle() time.Duration {
 	return time.Duration(l.StreamIdleMillis) * time.Millisecond
 }
 
-// PromptBound returns an upper bound on the prompt tokens of a body of the
+// MaxPromptTokens returns an upper bound on the prompt tokens of a body of the
 // given size in bytes. A byte-level tokenizer yields at most one token per
-// byte, and the JSON around the text is larger than any chat template adds.
+// byte, and the JSON around the text is larger than the text that any chat
+// template adds.
 func (l Limits) PromptBound(bodyBytes int) int64 {
 	return int64((bodyBytes + l.MinBytesPerToken - 1) / l.MinBytesPerToken)
 }
 
-// HashKey returns the form in which documents keep an API key.
+// HashKey returns the SHA-256 of an API key in hexadecimal, the form in which
+// documents store the key.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Parse reads a document, fills in defaults and checks it whole. The error is
-// an *InvalidError that names every fault, or a TOML syntax error.
+// Parse decodes a document, fills in defaults and validates it. The error is an
+// *InvalidError that lists the TOML syntax error or all invalid values.
 func Parse(text []byte) (*Document, error) {
 	doc := &Document{}
-	decoder := toml.NewDecoder(bytesReader(text)).DisallowUnknownFields()
+	decoder := toml.NewDecoder(newReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(doc); err != nil {
-		return nil, &InvalidError{Faults: []Fault{syntaxFault(err)}}
+		return nil, &InvalidError{FieldErrors: []FieldError{syntaxError(err)}}
 	}
 	doc.fillDefaults()
-	if faults := doc.check(); len(faults) > 0 {
-		return nil, &InvalidError{Faults: faults}
+	if fieldErrs := doc.validate(); len(fieldErrs) > 0 {
+		return nil, &InvalidError{FieldErrors: fieldErrs}
 	}
 	return doc, nil
 }
--- a/pkg/document/document_test.go
+++ b/pkg/document/document_test.go
@@ -21,8 +21,8 @@
 domain = "d"
 `
 
-// An operator's slip must be named by key, value and what is allowed, all slips
-// at once, or the edit takes as many rounds as there are slips.
+// The error must list all invalid values of a document with their keys. If it
+// listed only the first, the operator would need one attempt for each mistake.
 func TestEveryFaultIsNamed(t *testing.T) {
 	cases := []struct {
 		description, from, to string
@@ -59,7 +59,7 @@
 	}
 }
 
-// The examples are what newcomers copy.
+// New users copy the examples, so they must be valid documents.
 func TestExamplesAreValid(t *testing.T) {
 	for _, path := range []string{"../../examples/sirajganj.toml", "../../examples/betuwe-oost.toml"} {
 		text, err := os.ReadFile(path)
@@ -72,7 +72,7 @@
 	}
 }
 
-// Documents come from people; no text may break the instance that reads it.
+// Documents are written by hand, so no text may crash the instance that parses it.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(minimal))
 	f.Add([]byte("[[pools]]\nname=1"))
