--- a/pkg/instance/admin.go
+++ b/pkg/instance/admin.go
@@ -19,7 +19,7 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine/keeper"
 )
 
-// Status is what an instance shows of itself.
+// Status describes the state of an instance.
 type Status struct {
 	Name        string             `json:"name"`
 	Incarnation string             `json:"incarnation"`
@@ -30,11 +30,11 @@
 	Members     []member.View      `json:"members"`
 	Grants      []budget.GrantView `json:"grants"`
 	Quarantine  keeper.Summary     `json:"quarantine"`
-	// Emptied are the failure domains whose upstreams get nothing.
+	// Emptied lists the failure domains whose upstreams get no new requests.
 	Emptied []string `json:"emptied_domains,omitempty"`
 }
 
-// Account is one account's budget as the ledger has it. Numbers are tokens.
+// Account is the budget of one account as stored in the ledger, in tokens.
 type Account struct {
 	Budget  string                   `json:"budget"`
 	Prepaid int64                    `json:"prepaid"`
@@ -44,20 +44,20 @@
 	Grants  map[string]*ledger.Grant `json:"grants,omitempty"`
 }
 
-func (i *Instance) adminRoutes() {
-	i.admin.GET("/healthz", func(_ context.Context, c *app.RequestContext) { c.SetStatusCode(consts.StatusOK) })
-	i.admin.GET("/readyz", i.ready)
-	i.admin.GET("/metrics", i.showMetrics)
-	i.admin.GET("/status", i.guarded(i.showStatus))
-	i.admin.GET("/events", i.guarded(i.showEvents))
-	i.admin.GET("/accounts", i.guarded(i.showAccounts))
-	i.admin.GET("/bills", i.guarded(i.showBill))
-	i.admin.GET("/quarantine", i.guarded(i.quarantine.ServeList))
-	i.admin.POST("/quarantine/release", i.guarded(i.quarantine.ServeRelease))
+func (i *Instance) registerAdminRoutes() {
+	i.adminServer.GET("/healthz", func(_ context.Context, c *app.RequestContext) { c.SetStatusCode(consts.StatusOK) })
+	i.adminServer.GET("/readyz", i.serveReady)
+	i.adminServer.GET("/metrics", i.serveMetrics)
+	i.adminServer.GET("/status", i.requireOperatorToken(i.serveStatus))
+	i.adminServer.GET("/events", i.requireOperatorToken(i.serveEvents))
+	i.adminServer.GET("/accounts", i.requireOperatorToken(i.serveAccounts))
+	i.adminServer.GET("/bills", i.requireOperatorToken(i.serveBill))
+	i.adminServer.GET("/quarantine", i.requireOperatorToken(i.quarantine.ServeList))
+	i.adminServer.POST("/quarantine/release", i.requireOperatorToken(i.quarantine.ServeRelease))
 }
 
-// guarded lets only bearers of the operators' token in.
-func (i *Instance) guarded(show app.HandlerFunc) app.HandlerFunc {
+// requireOperatorToken wraps a handler so that it serves only requests with the operators' token.
+func (i *Instance) requireOperatorToken(handler app.HandlerFunc) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		token, _ := strings.CutPrefix(string(c.GetHeader("Authorization")), "Bearer ")
 		given := document.HashKey(token)
@@ -66,11 +66,11 @@
 			c.SetStatusCode(consts.StatusUnauthorized)
 			return
 		}
-		show(ctx, c)
+		handler(ctx, c)
 	}
 }
 
-func (i *Instance) ready(_ context.Context, c *app.RequestContext) {
+func (i *Instance) serveReady(_ context.Context, c *app.RequestContext) {
 	if i.State() != life.Ready {
 		c.String(consts.StatusServiceUnavailable, i.State())
 		return
@@ -78,18 +78,18 @@
 	c.String(consts.StatusOK, life.Ready)
 }
 
-func (i *Instance) showMetrics(_ context.Context, c *app.RequestContext) {
+func (i *Instance) serveMetrics(_ context.Context, c *app.RequestContext) {
 	for name, count := range i.store.Calls() {
 		metrics.GetOrRegisterGauge("store."+name, i.metrics).Update(count)
 	}
 	metrics.GetOrRegisterGauge("config.services", i.metrics).Update(int64(len(i.config.Snapshot().Services)))
-	metrics.GetOrRegisterGauge("peers.bytes_in", i.metrics).Update(i.traffic.In.Load())
-	metrics.GetOrRegisterGauge("peers.bytes_out", i.metrics).Update(i.traffic.Out.Load())
+	metrics.GetOrRegisterGauge("peers.bytes_in", i.metrics).Update(i.peerTraffic.In.Load())
+	metrics.GetOrRegisterGauge("peers.bytes_out", i.metrics).Update(i.peerTraffic.Out.Load())
 	metrics.GetOrRegisterGauge("requests.active", i.metrics).Update(i.entry.Active())
 	c.JSON(consts.StatusOK, i.metrics.GetAll())
 }
 
-func (i *Instance) showStatus(_ context.Context, c *app.RequestContext) {
+func (i *Instance) serveStatus(_ context.Context, c *app.RequestContext) {
 	status := Status{
 		Name:        i.settings.Name,
 		Incarnation: i.incarnation,
@@ -101,24 +101,24 @@
 		Quarantine:  i.quarantine.Summary(),
 		Emptied:     i.config.EmptiedDomains().Domains,
 	}
-	status.StoreUp = i.tie.Up()
+	status.StoreUp = i.storeMonitor.Up()
 	for _, f := range i.config.Snapshot().Services {
 		status.Generations[f.Service] = f.Generation
 	}
 	c.JSON(consts.StatusOK, status)
 }
 
-func (i *Instance) showEvents(_ context.Context, c *app.RequestContext) {
+func (i *Instance) serveEvents(_ context.Context, c *app.RequestContext) {
 	c.JSON(consts.StatusOK, i.log.Recent(c.Query("request")))
 }
 
-// showAccounts reads the ledger: what each account prepaid, spent, has granted
-// to whom, and what is in doubt.
-func (i *Instance) showAccounts(ctx context.Context, c *app.RequestContext) {
+// serveAccounts reads the ledger and answers with each account's prepaid, spent
+// and free tokens, its grants, and the tokens in doubt.
+func (i *Instance) serveAccounts(ctx context.Context, c *app.RequestContext) {
 	accounts := []Account{}
 	for shard := 0; shard < i.settings.LedgerShards; shard++ {
 		object, err := i.store.Get(ctx, ledger.ObjectKey(shard))
-		if errStoreMissing(err) {
+		if isNotFound(err) {
 			continue
 		}
 		if err != nil {
@@ -153,11 +153,11 @@
 	return out
 }
 
-// billReadTimeout bounds the reading of all bill segments.
+// billReadTimeout limits the time to read all bill segments.
 const billReadTimeout = 10 * time.Second
 
-// showBill finds one request's bill among the segments in the store.
-func (i *Instance) showBill(ctx context.Context, c *app.RequestContext) {
+// serveBill finds the bill of one request in the segments in the store.
+func (i *Instance) serveBill(ctx context.Context, c *app.RequestContext) {
 	ctx, cancel := context.WithTimeout(ctx, billReadTimeout)
 	defer cancel()
 	list, err := i.store.List(ctx, bill.Kind)
--- a/pkg/instance/domains.go
+++ b/pkg/instance/domains.go
@@ -7,8 +7,8 @@
 	"github.com/lavenderring/lavenderring/pkg/eventlog"
 )
 
-// onEmptied is told of emptied domains that come into force.
-func (i *Instance) onEmptied(before, now configsync.EmptiedDomains) {
+// onEmptiedDomains applies a change of the emptied domains and logs it.
+func (i *Instance) onEmptiedDomains(before, now configsync.EmptiedDomains) {
 	i.entry.SetEmptied(now.Domains)
 	for _, domain := range now.Domains {
 		if !slices.Contains(before.Domains, domain) {
--- a/pkg/instance/era.go
+++ b/pkg/instance/era.go
@@ -9,41 +9,41 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// noteEra takes in what an answer of the store told of its era.
-func (i *Instance) noteEra(news store.EraNews) {
-	if news.Fault != nil {
-		i.log.Event(eventlog.StoreEraFault, "", eventlog.Fields{"era": news.To, "cause": news.Fault.Error()})
+// noteEra handles what an answer of the store reported of the store's era.
+func (i *Instance) noteEra(update store.EraNews) {
+	if update.Fault != nil {
+		i.log.Event(eventlog.StoreEraFault, "", eventlog.Fields{"era": update.To, "cause": update.Fault.Error()})
 		return
 	}
-	i.storeEra.Store(uint64(news.To))
-	if news.From == 0 {
-		return // the first that this process sees
+	i.storeEra.Store(uint64(update.To))
+	if update.From == 0 {
+		return // the first era that this process has seen
 	}
-	i.log.Event(eventlog.StoreWentBack, "", eventlog.Fields{"from": news.From, "era": news.To})
+	i.log.Event(eventlog.StoreWentBack, "", eventlog.Fields{"from": update.From, "era": update.To})
 	i.claims.NoteEra()
 	i.quarantine.StoreAgain()
 }
 
-// heardEra has the store asked for its era, of which another instance told; noteEra hears what it
-// says.
-func (i *Instance) heardEra(era uint64) {
+// notePeerEra handles an era that another instance reported. If it is later than the known one, a read
+// from the store is started in the background; noteEra handles the era in the store's answer.
+func (i *Instance) notePeerEra(era uint64) {
 	known := i.storeEra.Load()
-	if known == 0 || era <= known || !i.askingEra.CompareAndSwap(false, true) {
+	if known == 0 || era <= known || !i.eraQueryRunning.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer i.askingEra.Store(false)
-		ctx, cancel := context.WithTimeout(i.background, i.settings.StoreTimeout())
+		defer i.eraQueryRunning.Store(false)
+		ctx, cancel := context.WithTimeout(i.backgroundCtx, i.settings.StoreTimeout())
 		defer cancel()
-		_, _ = i.store.Get(ctx, claim.Prefix+"0000") // only the era of the answer counts; the next heartbeat asks again
+		_, _ = i.store.Get(ctx, claim.Prefix+"0000") // only the era of the answer matters; the next heartbeat retries
 	}()
 }
 
-// liveOthers implements claim.Fleet.
-type liveOthers struct{ table *member.Table }
+// claimFleet implements claim.Fleet with the member table.
+type claimFleet struct{ table *member.Table }
 
 // Others implements claim.Fleet.
-func (l liveOthers) Others() []string {
+func (l claimFleet) Others() []string {
 	var names []string
 	for _, m := range l.table.Others() {
 		names = append(names, m.Incarnation)
--- a/pkg/instance/fleet.go
+++ b/pkg/instance/fleet.go
@@ -9,8 +9,9 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// prepaidIn returns what the documents in force prepaid within a shard.
-func prepaidIn(state *configsync.State, shards int) budget.Prepaid {
+// prepaidFromConfig returns a function that lists the prepaid amounts of a ledger
+// shard's budgets according to the documents in force.
+func prepaidFromConfig(state *configsync.State, shards int) budget.Prepaid {
 	return func(shard int) []budget.ServicePrepaid {
 		var out []budget.ServicePrepaid
 		for _, f := range state.Snapshot().Services {
@@ -27,5 +28,6 @@
 	}
 }
 
-// errStoreMissing reports that an object is not there; it is no fault.
-func errStoreMissing(err error) bool { return errors.Is(err, store.ErrNotFound) }
+// isNotFound reports whether err means that the store has no such object, which is
+// not a failure of the store.
+func isNotFound(err error) bool { return errors.Is(err, store.ErrNotFound) }
--- a/pkg/instance/instance.go
+++ b/pkg/instance/instance.go
@@ -1,4 +1,5 @@
-// Package instance puts the duties together into one process of the fleet.
+// Package instance assembles the components of one process of the fleet and runs
+// its background tasks.
 package instance
 
 import (
@@ -34,18 +35,20 @@
 	"github.com/lavenderring/lavenderring/platform"
 )
 
-// Bounds of the stop.
+// Limits of an instance.
 const (
-	// drainTimeout bounds the wait for requests in progress at a planned stop;
-	// it is above the longest deadline and stream that documents allow.
+	// drainTimeout limits the wait for requests in progress at a planned stop.
+	// It exceeds the longest deadline and stream that documents allow.
 	drainTimeout = 15 * time.Minute
-	// handOverTimeout bounds the return of tokens, bills and outcomes.
-	handOverTimeout = 20 * time.Second
-	// signedAtLeast is the least number of tokens countersigned ahead.
-	signedAtLeast = 64
-	// fetchQueue bounds the configuration reads that wait.
-	fetchQueue = 64
-	// maxBodyBytes bounds a caller's body before its service is known.
+	// flushTimeout limits the return of tokens and the writing of bills and
+	// outcomes at a planned stop.
+	flushTimeout = 20 * time.Second
+	// minSignedAhead is the minimum number of tokens that a witness countersigns
+	// in advance.
+	minSignedAhead = 64
+	// configFetchQueueSize is the maximum number of queued configuration reads.
+	configFetchQueueSize = 64
+	// maxBodyBytes limits a client's request body until its service is known.
 	maxBodyBytes = 8 << 20
 )
 
@@ -55,71 +58,73 @@
 	incarnation string
 	log         *eventlog.Log
 	metrics     metrics.Registry
-	life        *life.Life
+	lifecycle   *life.Life
 
-	store   *platform.Client
-	peers   *peer.Client
-	traffic peer.Traffic
-	table   *member.Table
-	gossip  *member.Gossip
-	// storeEra is the latest era of the store that its answers told, askingEra says that the store
-	// is being asked for it.
-	storeEra  atomic.Uint64
-	askingEra atomic.Bool
-	config    *configsync.State
-	syncer    *configsync.Syncer
-	budgets   *budget.Node
-	journal   *bill.Journal
-	keeper    *bill.Keeper
-	claims    *claim.Claimer
-	// quarantine knows the requests that crash upstreams.
-	quarantine *keeper.Keeper
-	entry      *entry.Entry
-	fetches    *ring.Ring[fetch]
-	nudge      *ring.Ring[struct{}]
-	noted      member.Notes // touched by the heartbeat duty only
-	// registered is when the store's list last took this instance; touched by the
-	// meeting duty only.
-	registered time.Time
+	store       *platform.Client
+	peerClient  *peer.Client
+	peerTraffic peer.Traffic
+	table       *member.Table
+	gossip      *member.Gossip
+	// storeEra is the latest era that an answer of the store reported. eraQueryRunning is set while
+	// notePeerEra reads from the store to learn its era.
+	storeEra        atomic.Uint64
+	eraQueryRunning atomic.Bool
+	config          *configsync.State
+	configSyncer    *configsync.Syncer
+	budgets         *budget.Node
+	journal         *bill.Journal
+	billKeeper      *bill.Keeper
+	claims          *claim.Claimer
+	// quarantine tracks the requests that crash upstreams.
+	quarantine       *keeper.Keeper
+	entry            *entry.Entry
+	configFetches    *ring.Ring[configFetch]
+	heartbeatTrigger *ring.Ring[struct{}]
+	changeLogger     member.Notes // used by runHeartbeats only
+	// registeredAt is when this instance was last registered in the store; used by
+	// discover only.
+	registeredAt time.Time
 
-	callers *httpserve.Server
-	admin   *httpserve.Server
-	server  *peer.Server
+	clientServer *httpserve.Server
+	adminServer  *httpserve.Server
+	peerServer   *peer.Server
 
-	callerTLS, peerServerTLS, peerClientTLS *tls.Config // nil for plain connections
+	clientServerTLS, peerServerTLS, peerClientTLS *tls.Config // nil for plain connections
 
-	tie *life.StoreTie
+	storeMonitor *life.StoreTie
 
-	// syncedGenerations is touched by the ledger sync duty only.
+	// syncedGenerations is the generationSum that syncLedger last wrote to the
+	// ledger; used by syncLedger only.
 	syncedGenerations uint64
 
-	// background is where duties run; it ends after the hand-over.
-	background context.Context
-	end        context.CancelFunc
-	duties     sync.WaitGroup
+	// backgroundCtx is the context of the background tasks; it ends after
+	// flushOnStop.
+	backgroundCtx    context.Context
+	cancelBackground context.CancelFunc
+	tasks            sync.WaitGroup
 }
 
-// New provisions an instance: everything is made and bound, nothing runs. The
-// error says which address could not be bound.
+// New creates the components of an instance and binds its addresses without
+// running anything. The error names what could not be loaded or bound.
 func New(s *settings.Settings, logOut io.Writer) (*Instance, error) {
 	i := &Instance{
-		settings:    s,
-		incarnation: s.Name + "-" + ulid.Make().String(),
-		log:         eventlog.New(s.Name, logOut),
-		metrics:     metrics.NewRegistry(),
-		fetches:     ring.New[fetch](fetchQueue),
-		nudge:       ring.New[struct{}](1),
+		settings:         s,
+		incarnation:      s.Name + "-" + ulid.Make().String(),
+		log:              eventlog.New(s.Name, logOut),
+		metrics:          metrics.NewRegistry(),
+		configFetches:    ring.New[configFetch](configFetchQueueSize),
+		heartbeatTrigger: ring.New[struct{}](1),
 	}
-	i.background, i.end = context.WithCancel(context.Background())
-	i.life = life.New(i.log)
-	i.tie = life.NewStoreTie(i.log)
+	i.backgroundCtx, i.cancelBackground = context.WithCancel(context.Background())
+	i.lifecycle = life.New(i.log)
+	i.storeMonitor = life.NewStoreTie(i.log)
 	if err := i.provisionTLS(); err != nil {
 		return nil, err
 	}
 	i.provisionFleet()
-	i.provisionDuties()
+	i.provisionRequestHandling()
 	if err := i.bind(); err != nil {
-		i.end()
+		i.cancelBackground()
 		return nil, err
 	}
 	i.log.Event(eventlog.InstanceStarting, "", eventlog.Fields{"incarnation": i.incarnation, "domain": s.Domain})
@@ -129,7 +134,7 @@
 func (i *Instance) provisionTLS() error {
 	var err error
 	if files := i.settings.CallerTLS; files != (settings.TLSFiles{}) {
-		i.callerTLS, err = tlsfiles.Caller(tlsfiles.Files(files))
+		i.clientServerTLS, err = tlsfiles.Caller(tlsfiles.Files(files))
 	}
 	if files := i.settings.PeerTLS; err == nil && files != (settings.TLSFiles{}) {
 		i.peerServerTLS, i.peerClientTLS, err = tlsfiles.Peer(tlsfiles.Files(files))
@@ -139,7 +144,7 @@
 
 func (i *Instance) provisionFleet() {
 	s := i.settings
-	listener := store.Listener{State: func(err error) { i.tie.Note(err) }, Era: i.noteEra}
+	listener := store.Listener{State: func(err error) { i.storeMonitor.Note(err) }, Era: i.noteEra}
 	i.store = platform.NewListeningClient(s.PlatformAddress, s.StoreTimeout(), listener)
 	i.table = member.NewTable(member.Config{
 		Self: &memberpb.Member{
@@ -154,11 +159,11 @@
 		Fanout:    member.DefaultFanout,
 		Now:       time.Now,
 	})
-	i.peers = peer.NewClient(i.table.Address, i.table.Heard, &i.traffic, i.peerClientTLS)
+	i.peerClient = peer.NewClient(i.table.Address, i.table.Heard, &i.peerTraffic, i.peerClientTLS)
 	i.quarantine = keeper.New(keeper.Deps{
 		Self:     s.Name,
 		Members:  i.table,
-		Exchange: i.peers.ExchangeQuarantine,
+		Exchange: i.peerClient.ExchangeQuarantine,
 		Store:    i.store,
 		Log:      i.log,
 		Metrics:  i.metrics,
@@ -166,42 +171,42 @@
 	})
 	i.gossip = &member.Gossip{
 		Table:       i.table,
-		Send:        i.peers.Heartbeat,
-		Generations: i.generations,
+		Send:        i.peerClient.Heartbeat,
+		Generations: i.serviceGenerations,
 		Era:         i.storeEra.Load,
-		HeardEra:    i.heardEra,
+		HeardEra:    i.notePeerEra,
 		Quarantine:  i.quarantine,
 		Newer: func(address string, services []string) {
-			i.fetches.TryPut(fetch{address: address, services: services})
+			i.configFetches.TryPut(configFetch{address: address, services: services})
 		},
 	}
 	i.config = configsync.NewState(i.onConfig)
-	i.config.OnEmptiedDomains(i.onEmptied)
-	i.syncer = configsync.NewSyncer(i.store, i.config, i.log, i.isWatcher, func() { i.nudge.TryPut(struct{}{}) })
+	i.config.OnEmptiedDomains(i.onEmptiedDomains)
+	i.configSyncer = configsync.NewSyncer(i.store, i.config, i.log, i.isWatcher, func() { i.heartbeatTrigger.TryPut(struct{}{}) })
 }
 
-func (i *Instance) provisionDuties() {
+func (i *Instance) provisionRequestHandling() {
 	s := i.settings
 	view := tokens.FleetView{Table: i.table}
 	cfg := budget.Config{
 		Self:          i.incarnation,
 		Shards:        s.LedgerShards,
 		Ahead:         time.Duration(s.AheadSeconds) * time.Second,
-		MinimumSigned: signedAtLeast,
+		MinimumSigned: minSignedAhead,
 	}
 	i.budgets = budget.NewNode(cfg, budget.Deps{
 		Ledger:   tokens.LedgerStore{Store: i.store},
-		Peers:    i.peers,
+		Peers:    i.peerClient,
 		Fleet:    view,
-		Prepaid:  prepaidIn(i.config, s.LedgerShards),
+		Prepaid:  prepaidFromConfig(i.config, s.LedgerShards),
 		Observer: tokens.Observer{Log: i.log},
 		Now:      time.Now,
 	})
 	billPeer := func() string { return i.table.Partner("bills/", "") }
-	i.journal = bill.NewJournal(i.incarnation, i.store, i.peers, billPeer)
-	i.keeper = bill.NewKeeper(i.store)
-	i.claims = claim.NewClaimer(i.incarnation, i.store, liveOthers{i.table}, s.ClaimShards, time.Now)
-	i.entry = entry.New(i.background, entry.Deps{
+	i.journal = bill.NewJournal(i.incarnation, i.store, i.peerClient, billPeer)
+	i.billKeeper = bill.NewKeeper(i.store)
+	i.claims = claim.NewClaimer(i.incarnation, i.store, claimFleet{i.table}, s.ClaimShards, time.Now)
+	i.entry = entry.New(i.backgroundCtx, entry.Deps{
 		Self:    i.incarnation,
 		Domain:  s.Domain,
 		Config:  i.config,
@@ -222,36 +227,37 @@
 func (i *Instance) bind() error {
 	var err error
 	handlers := peer.Handlers{
-		Budgets: i.budgets, Bills: i.keeper, Members: i, Quarantine: keeper.Service{Keeper: i.quarantine},
+		Budgets: i.budgets, Bills: i.billKeeper, Members: i, Quarantine: keeper.Service{Keeper: i.quarantine},
 	}
-	if i.server, err = peer.Listen(i.settings.PeerAddress, handlers, &i.traffic, i.peerServerTLS); err != nil {
+	if i.peerServer, err = peer.Listen(i.settings.PeerAddress, handlers, &i.peerTraffic, i.peerServerTLS); err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
 	opts := httpserve.Options{
 		Address:      i.settings.CallerAddress,
 		MaxBodyBytes: maxBodyBytes,
 		ReadTimeout:  i.settings.CallerRead(),
-		TLS:          i.callerTLS,
+		TLS:          i.clientServerTLS,
 	}
-	if i.callers, err = httpserve.Listen(opts); err != nil {
-		return fmt.Errorf("listen for callers: %w", err)
+	if i.clientServer, err = httpserve.Listen(opts); err != nil {
+		return fmt.Errorf("listen for clients: %w", err)
 	}
 	opts = httpserve.Options{Address: i.settings.AdminAddress, MaxBodyBytes: maxBodyBytes}
-	if i.admin, err = httpserve.Listen(opts); err != nil {
+	if i.adminServer, err = httpserve.Listen(opts); err != nil {
 		return fmt.Errorf("listen for operators: %w", err)
 	}
-	i.entry.Routes(i.callers)
-	i.adminRoutes()
+	i.entry.Routes(i.clientServer)
+	i.registerAdminRoutes()
 	return nil
 }
 
-// onConfig is told of each document that comes into force.
+// onConfig applies each document that comes into force.
 func (i *Instance) onConfig(f *configsync.InForce) {
 	i.entry.ApplyConfig(f)
 }
 
-// isWatcher tells whether this instance is the one of its failure domain that
-// watches the store. Two may think so for a while; that costs a call.
+// isWatcher reports whether this instance is the one in its failure domain that
+// watches the store. Two instances may do so for a while, at the cost of one more
+// pending call to the store.
 func (i *Instance) isWatcher() bool {
 	for _, m := range i.table.WinnersByDomain("config-watch") {
 		if m.Incarnation == i.incarnation {
@@ -261,5 +267,5 @@
 	return false
 }
 
-// State returns the state of the instance's life.
-func (i *Instance) State() string { return i.life.State() }
+// State returns the state of the instance's lifecycle.
+func (i *Instance) State() string { return i.lifecycle.State() }
--- a/pkg/instance/members.go
+++ b/pkg/instance/members.go
@@ -9,11 +9,12 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// instanceKind is the platform's list of instances.
+// instanceKind is the kind of the objects under which instances register.
 const instanceKind = "instances"
 
-// generations tells which documents this instance works by.
-func (i *Instance) generations() []*memberpb.ServiceGeneration {
+// serviceGenerations lists the generations in force on this instance, including that
+// of the emptied domains.
+func (i *Instance) serviceGenerations() []*memberpb.ServiceGeneration {
 	var out []*memberpb.ServiceGeneration
 	for _, f := range i.config.Snapshot().Services {
 		out = append(out, &memberpb.ServiceGeneration{Service: f.Service, Generation: f.Generation})
@@ -28,7 +29,7 @@
 func (i *Instance) Heartbeat(_ context.Context, d *memberpb.Digest) (*memberpb.Digest, error) {
 	reply, newer := i.gossip.Answer(d)
 	if len(newer) > 0 && d.From != nil {
-		i.fetches.TryPut(fetch{address: d.From.PeerAddress, services: newer})
+		i.configFetches.TryPut(configFetch{address: d.From.PeerAddress, services: newer})
 	}
 	return reply, nil
 }
@@ -56,37 +57,39 @@
 	return &memberpb.Config{Service: f.Service, Generation: f.Generation, Accepted: value}, nil
 }
 
-// fetch is the wish to read services' documents from a peer.
-type fetch struct {
+// configFetch is a queued read of services' documents from a peer.
+type configFetch struct {
 	address  string
 	services []string
 }
 
-func (i *Instance) fetchConfig(ctx context.Context, f fetch) {
+func (i *Instance) fetchConfig(ctx context.Context, f configFetch) {
 	for _, service := range f.services {
-		reply, err := i.peers.FetchConfig(ctx, f.address, service)
+		reply, err := i.peerClient.FetchConfig(ctx, f.address, service)
 		if err != nil || len(reply.Accepted) == 0 {
 			continue
 		}
-		i.takeConfig(service, reply.Accepted)
+		i.applyFetchedConfig(service, reply.Accepted)
 	}
 }
 
-// takeConfig takes in what a peer has of a service, or of the emptied domains.
-func (i *Instance) takeConfig(service string, value []byte) {
+// applyFetchedConfig applies a service's document, or the emptied domains, received
+// from a peer.
+func (i *Instance) applyFetchedConfig(service string, value []byte) {
 	if service == configsync.EmptiedDomainsName {
 		if emptied, err := configsync.DecodeEmptiedDomains(value); err == nil {
-			i.syncer.ApplyEmptiedDomains(emptied)
+			i.configSyncer.ApplyEmptiedDomains(emptied)
 		}
 		return
 	}
 	if accepted, err := configsync.DecodeAccepted(value); err == nil {
-		i.syncer.Apply(accepted)
+		i.configSyncer.Apply(accepted)
 	}
 }
 
-// readInstanceList takes in the platform's list. It lags and may miss members;
-// it only makes them known.
+// readInstanceList adds the registered instances to the member table. The list may
+// lag and lack members, so it is used to discover members only, not as a sign that
+// they are alive.
 func (i *Instance) readInstanceList(ctx context.Context) {
 	list, err := i.store.List(ctx, instanceKind)
 	if err != nil {
@@ -100,14 +103,14 @@
 	}
 }
 
-// register writes this instance into the list.
+// register writes this instance to the list of instances.
 func (i *Instance) register(ctx context.Context) error {
 	value, err := json.Marshal(i.table.Self())
 	if err != nil {
 		return err
 	}
-	return store.Update(ctx, i.store, instanceKind+"/"+i.settings.Name, func(present []byte) ([]byte, error) {
-		if string(present) == string(value) {
+	return store.Update(ctx, i.store, instanceKind+"/"+i.settings.Name, func(stored []byte) ([]byte, error) {
+		if string(stored) == string(value) {
 			return nil, store.ErrUnchanged
 		}
 		return value, nil
