--- a/cmd/lavenderring/main.go
+++ b/cmd/lavenderring/main.go
@@ -148,14 +148,14 @@
 	case a.Route != nil:
 		return route(ctx, a.Route.Settings)
 	case a.Config != nil && a.Config.Check != nil:
-		return operator.Check(os.Stdout, a.Config.Check.File)
+		return operator.CheckDocument(os.Stdout, a.Config.Check.File)
 	case a.Config != nil && a.Config.Apply != nil:
 		apply := a.Config.Apply
-		return operator.Apply(ctx, os.Stdout, apply.Platform, apply.File, apply.Expect)
+		return operator.ApplyDocument(ctx, os.Stdout, apply.Platform, apply.File, apply.Expect)
 	case a.Config != nil && a.Config.Show != nil:
-		return operator.Show(ctx, os.Stdout, a.Config.Show.Platform, a.Config.Show.Service)
+		return operator.ShowDocument(ctx, os.Stdout, a.Config.Show.Platform, a.Config.Show.Service)
 	case a.Status != nil:
-		return operator.Ask(ctx, os.Stdout, a.Status.Admin, a.Status.Token, a.Status.Path)
+		return operator.PrintAdminResponse(ctx, os.Stdout, a.Status.Admin, a.Status.Token, a.Status.Path)
 	case a.Quarantine != nil:
 		return runQuarantine(ctx, a.Quarantine)
 	case a.Domain != nil:
@@ -168,14 +168,14 @@
 }
 
 func runQuarantine(ctx context.Context, q *quarantineArgs) error {
-	at := operator.Admin{Address: q.Admin, Token: q.Token}
+	admin := operator.AdminClient{Address: q.Admin, Token: q.Token}
 	switch {
 	case q.Show != nil:
-		return operator.ShowQuarantined(ctx, os.Stdout, at, q.Show.ID, q.JSON)
+		return operator.ShowQuarantined(ctx, os.Stdout, admin, q.Show.ID, q.JSON)
 	case q.Release != nil:
-		return operator.Release(ctx, os.Stdout, at, q.Release.ID)
+		return operator.ReleaseQuarantined(ctx, os.Stdout, admin, q.Release.ID)
 	default:
-		return operator.ListQuarantine(ctx, os.Stdout, at, q.JSON)
+		return operator.ListQuarantine(ctx, os.Stdout, admin, q.JSON)
 	}
 }
 
@@ -186,7 +186,7 @@
 	case d.Restore != nil:
 		return operator.RestoreDomain(ctx, os.Stdout, d.Platform, d.Restore.Domain)
 	default:
-		return operator.ListDomains(ctx, os.Stdout, d.Platform, d.JSON)
+		return operator.ListEmptiedDomains(ctx, os.Stdout, d.Platform, d.JSON)
 	}
 }
 
@@ -214,7 +214,7 @@
 		return err
 	}
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(s.MemoryMB << 20 * memoryPart / 100)
+		debug.SetMemoryLimit(s.MemoryMB << 20 * memoryLimitPercent / 100)
 	}
 	out := eventlog.NewBounded(os.Stdout, time.Now)
 	defer out.Close()
@@ -233,4 +233,4 @@
 
 // memoryPart is the part of the allowed memory, in percent, that the collector
 // keeps the heap below: the rest is for stacks, sockets and bursts.
-const memoryPart = 60
+const memoryLimitPercent = 60
--- a/pkg/operator/config.go
+++ b/pkg/operator/config.go
@@ -1,4 +1,4 @@
-// Package operator holds what the command line does for operators.
+// Package operator implements the commands that operators run.
 package operator
 
 import (
@@ -16,23 +16,25 @@
 	"github.com/lavenderring/lavenderring/platform"
 )
 
-// Errors told to operators.
+// Errors reported to operators.
 var (
-	// ErrInvalidDocument means that the document breaks a rule; nothing was written.
+	// ErrInvalidDocument means that a document did not pass validation, either
+	// before it was written or by the instance that read it from the store.
 	ErrInvalidDocument = errors.New("the document is not valid")
-	// ErrEditedMeanwhile means that somebody else wrote the document since it
-	// was read; nothing was written and nothing is lost.
-	ErrEditedMeanwhile = errors.New("the document was edited meanwhile; show it, bring the edits together, apply again")
+	// ErrConcurrentEdit means that another operator wrote the document since it
+	// was read. Nothing was written, so neither edit is lost.
+	ErrConcurrentEdit = errors.New("the document was changed since it was read; show it, merge the edits and apply it again")
 )
 
-// Bounds of the commands.
+// Timeouts of calls to the store or an instance and of the wait for acceptance,
+// and the interval of the reads during that wait.
 const (
-	callTimeout   = 5 * time.Second
-	acceptTimeout = 20 * time.Second
-	acceptPoll    = 100 * time.Millisecond
+	callTimeout        = 5 * time.Second
+	acceptTimeout      = 20 * time.Second
+	acceptPollInterval = 100 * time.Millisecond
 )
 
-func read(path string) ([]byte, *document.Document, error) {
+func loadDocument(path string) ([]byte, *document.Document, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
@@ -44,9 +46,9 @@
 	return text, doc, nil
 }
 
-// Check checks a document file.
-func Check(out io.Writer, path string) error {
-	_, doc, err := read(path)
+// CheckDocument validates a document file and prints a summary of it.
+func CheckDocument(out io.Writer, path string) error {
+	_, doc, err := loadDocument(path)
 	if err != nil {
 		return err
 	}
@@ -55,29 +57,29 @@
 	return err
 }
 
-// Apply writes a document, unless its stored version is not the expected one,
-// and waits until the fleet has accepted or refused it. Without expect the
-// version stored at the moment is expected, so that of two operators who apply
-// at once one is told.
-func Apply(ctx context.Context, out io.Writer, address, path string, expect *int64) error {
-	text, doc, err := read(path)
+// ApplyDocument writes a document if its stored version is the expected one, and
+// waits until an instance has accepted or refused it. Without expect, the version
+// read before the write is expected, so that of two operators who apply a document
+// at the same time one gets ErrConcurrentEdit.
+func ApplyDocument(ctx context.Context, out io.Writer, address, path string, expect *int64) error {
+	text, doc, err := loadDocument(path)
 	if err != nil {
 		return err
 	}
 	client := platform.NewClient(address, callTimeout, nil)
 	key := configsync.DocumentPrefix + doc.Service
-	version, err := expected(ctx, client, key, expect)
+	version, err := expectedVersion(ctx, client, key, expect)
 	if err != nil {
 		return err
 	}
-	written, err := put(ctx, client, key, text, version)
+	written, err := putDocument(ctx, client, key, text, version)
 	if err != nil {
 		return err
 	}
 	return awaitAccepted(ctx, out, client, doc.Service, written)
 }
 
-func expected(ctx context.Context, client *platform.Client, key string, expect *int64) (store.Position, error) {
+func expectedVersion(ctx context.Context, client *platform.Client, key string, expect *int64) (store.Position, error) {
 	if expect != nil {
 		return store.At(store.Version(*expect)), nil
 	}
@@ -88,8 +90,9 @@
 	return object.Position, err
 }
 
-// put writes the document; a lost answer is settled by reading back.
-func put(
+// putDocument writes the document. If it is uncertain whether the write took
+// effect, the document is read back.
+func putDocument(
 	ctx context.Context, client *platform.Client, key string, text []byte, version store.Position,
 ) (store.Position, error) {
 	written, err := client.Put(ctx, key, text, version)
@@ -100,7 +103,7 @@
 		}
 	}
 	if errors.Is(err, store.ErrConflict) {
-		return store.NoPosition, fmt.Errorf("%w (expected version %v)", ErrEditedMeanwhile, version)
+		return store.NoPosition, fmt.Errorf("%w (expected version %v)", ErrConcurrentEdit, version)
 	}
 	return written, err
 }
@@ -114,14 +117,15 @@
 		object, err := client.Get(ctx, configsync.StatusPrefix+service)
 		var status configsync.Status
 		if err == nil && json.Unmarshal(object.Value, &status) == nil && !status.DocumentVersion.Before(version) {
-			return report(out, status, version)
+			return printStatus(out, status, version)
 		}
-		time.Sleep(acceptPoll)
+		time.Sleep(acceptPollInterval)
 	}
-	return fmt.Errorf("document version %d is stored; no instance has accepted it within %v", version, acceptTimeout)
+	return fmt.Errorf("document version %d of service %s is stored, but no instance has accepted or refused it within %v",
+		version, service, acceptTimeout)
 }
 
-func report(out io.Writer, status configsync.Status, version store.Position) error {
+func printStatus(out io.Writer, status configsync.Status, version store.Position) error {
 	if version.Before(status.DocumentVersion) {
 		_, err := fmt.Fprintf(out, "version %d is stored; version %d has followed it\n", version, status.DocumentVersion)
 		return err
@@ -133,16 +137,17 @@
 	return err
 }
 
-// Show prints the stored document, its version, and what became of it.
-func Show(ctx context.Context, out io.Writer, address, service string) error {
+// ShowDocument prints the stored document with its version, and the version and
+// generation of the accepted document.
+func ShowDocument(ctx context.Context, out io.Writer, address, service string) error {
 	client := platform.NewClient(address, callTimeout, nil)
 	object, err := client.Get(ctx, configsync.DocumentPrefix+service)
 	if err != nil {
 		return err
 	}
 	accepted := configsync.Accepted{}
-	if held, err := client.Get(ctx, configsync.AcceptedPrefix+service); err == nil {
-		if accepted, err = configsync.DecodeAccepted(held.Value); err != nil {
+	if stored, err := client.Get(ctx, configsync.AcceptedPrefix+service); err == nil {
+		if accepted, err = configsync.DecodeAccepted(stored.Value); err != nil {
 			return err
 		}
 	}
--- a/pkg/operator/domains.go
+++ b/pkg/operator/domains.go
@@ -15,9 +15,10 @@
 	"github.com/lavenderring/lavenderring/platform"
 )
 
-// EmptyDomain has a failure domain's upstreams get nothing new until RestoreDomain.
+// EmptyDomain stops new requests to the upstreams of a failure domain until
+// RestoreDomain is called for it.
 func EmptyDomain(ctx context.Context, out io.Writer, address, domain string) error {
-	return changeDomains(ctx, out, address, "emptied "+domain, func(domains []string) []string {
+	return updateEmptiedDomains(ctx, out, address, "emptied "+domain, func(domains []string) []string {
 		if slices.Contains(domains, domain) {
 			return domains
 		}
@@ -25,19 +26,19 @@
 	})
 }
 
-// RestoreDomain takes a failure domain back.
+// RestoreDomain allows new requests to the upstreams of a failure domain again.
 func RestoreDomain(ctx context.Context, out io.Writer, address, domain string) error {
-	return changeDomains(ctx, out, address, "restored "+domain, func(domains []string) []string {
+	return updateEmptiedDomains(ctx, out, address, "restored "+domain, func(domains []string) []string {
 		return slices.DeleteFunc(domains, func(other string) bool { return other == domain })
 	})
 }
 
-func changeDomains(
-	ctx context.Context, out io.Writer, address, done string, change func(domains []string) []string,
+func updateEmptiedDomains(
+	ctx context.Context, out io.Writer, address, message string, change func(domains []string) []string,
 ) error {
 	client := platform.NewClient(address, callTimeout, nil)
-	err := store.Update(ctx, client, configsync.EmptiedDomainsKey, func(present []byte) ([]byte, error) {
-		e, err := emptiedIn(present)
+	err := store.Update(ctx, client, configsync.EmptiedDomainsKey, func(stored []byte) ([]byte, error) {
+		e, err := decodeEmptiedDomains(stored)
 		if err != nil {
 			return nil, err
 		}
@@ -46,25 +47,26 @@
 		if slices.Equal(before, e.Domains) {
 			return nil, store.ErrUnchanged
 		}
-		// Above every number given before, also by a store that has gone back since.
+		// Higher than every generation written before, even if the store has been rolled
+		// back since and lost it.
 		e.Generation = max(e.Generation+1, uint64(time.Now().UnixMilli()))
 		return json.Marshal(e)
 	})
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(out, done)
+	_, err = fmt.Fprintln(out, message)
 	return err
 }
 
-// ListDomains prints the emptied failure domains.
-func ListDomains(ctx context.Context, out io.Writer, address string, asJSON bool) error {
+// ListEmptiedDomains prints the emptied failure domains.
+func ListEmptiedDomains(ctx context.Context, out io.Writer, address string, asJSON bool) error {
 	client := platform.NewClient(address, callTimeout, nil)
 	object, err := client.Get(ctx, configsync.EmptiedDomainsKey)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
-	e, err := emptiedIn(object.Value)
+	e, err := decodeEmptiedDomains(object.Value)
 	if err != nil {
 		return err
 	}
@@ -76,15 +78,15 @@
 		return printJSON(out, body)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "EMPTIED DOMAIN") // Flush tells errors
+	_, _ = fmt.Fprintln(table, "EMPTIED DOMAIN") // Flush returns errors
 	for _, domain := range e.Domains {
 		_, _ = fmt.Fprintln(table, domain)
 	}
 	return table.Flush()
 }
 
-// emptiedIn reads the stored object; nothing is emptied where there is none.
-func emptiedIn(value []byte) (configsync.EmptiedDomains, error) {
+// decodeEmptiedDomains decodes the stored object. If there is none, no domain is emptied.
+func decodeEmptiedDomains(value []byte) (configsync.EmptiedDomains, error) {
 	if len(value) == 0 {
 		return configsync.EmptiedDomains{Domains: []string{}}, nil
 	}
--- a/pkg/operator/timeline.go
+++ b/pkg/operator/timeline.go
@@ -12,22 +12,22 @@
 	"github.com/lavenderring/lavenderring/pkg/eventlog"
 )
 
-// maxLineBytes bounds one line of an event log.
+// maxLineBytes limits the length of one line of an event log.
 const maxLineBytes = 1 << 20
 
-// Timeline merges event logs into one view ordered by time, and among equal
-// times by each process's own order. Lines that are no events are passed over
-// and counted.
-func Timeline(out io.Writer, logs []string, request, process string) error {
+// Timeline merges event logs and prints the events ordered by time. Events of one
+// process with equal times are ordered by their sequence numbers. Lines that are
+// not events are skipped and counted.
+func Timeline(out io.Writer, paths []string, request, process string) error {
 	var events []eventlog.Event
-	passed := 0
-	for _, path := range logs {
+	totalSkipped := 0
+	for _, path := range paths {
 		read, skipped, err := readLog(path)
 		if err != nil {
 			return err
 		}
 		events = append(events, read...)
-		passed += skipped
+		totalSkipped += skipped
 	}
 	sortEvents(events)
 	for _, event := range events {
@@ -38,8 +38,8 @@
 			return err
 		}
 	}
-	if passed > 0 {
-		_, err := fmt.Fprintf(out, "(%d lines are no events)\n", passed)
+	if totalSkipped > 0 {
+		_, err := fmt.Fprintf(out, "(%d lines are not events)\n", totalSkipped)
 		return err
 	}
 	return nil
--- a/pkg/operator/timeline_test.go
+++ b/pkg/operator/timeline_test.go
@@ -10,9 +10,9 @@
 	"github.com/lavenderring/lavenderring/pkg/eventlog"
 )
 
-// An operator follows one request over two processes. Their logs interleave in
-// time; lines that are no events, such as a crash's trace, are counted, not lost
-// silently.
+// The events of one request in the logs of two processes must be printed in the
+// order of their times. Lines that are not events, such as a stack trace, must be
+// counted rather than dropped silently.
 func TestTimelineMergesProcesses(t *testing.T) {
 	dir := t.TempDir()
 	var logs []string
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if len(lines) != 5 || !strings.Contains(lines[4], "1 lines are no events") {
+	if len(lines) != 5 || !strings.Contains(lines[4], "1 lines are not events") {
 		t.Fatalf("got\n%s", out.String())
 	}
 	for i, name := range []string{"one", "two", "one", "two"} {
