--- a/pkg/instance/instance.go
+++ b/pkg/instance/instance.go
@@ -187,7 +187,7 @@
 
 func (i *Instance) provisionRequestHandling() {
 	s := i.settings
-	view := tokens.FleetView{Table: i.table}
+	view := tokens.MemberFleet{Table: i.table}
 	cfg := budget.Config{
 		Self:          i.incarnation,
 		Shards:        s.LedgerShards,
@@ -199,7 +199,7 @@
 		Peers:    i.peerClient,
 		Fleet:    view,
 		Prepaid:  prepaidFromConfig(i.config, s.LedgerShards),
-		Observer: tokens.Observer{Log: i.log},
+		Observer: tokens.EventObserver{Log: i.log},
 		Now:      time.Now,
 	})
 	billPeer := func() string { return i.table.Partner("bills/", "") }
--- a/pkg/tokens/tokens.go
+++ b/pkg/tokens/tokens.go
@@ -1,5 +1,5 @@
-// Package tokens joins the budget slice to an instance: to the store, the member
-// table and the event log.
+// Package tokens connects package budget to the store, the member table and the
+// event log of an instance.
 package tokens
 
 import (
@@ -12,13 +12,14 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// FleetView shows the member table to the budget slice.
-type FleetView struct{ Table *member.Table }
+// MemberFleet implements budget.Fleet with the member table.
+type MemberFleet struct{ Table *member.Table }
 
-// Holders implements budget.Fleet: for each failure domain the instance that
-// wins the shard. With few holders a budget's last tokens are in few places,
-// and the number of grants grows with the domains, not with the fleet.
-func (v FleetView) Holders(shard int) []string {
+// Holders implements budget.Fleet. It returns, for each failure domain, the
+// instance that ranks first for the shard. Few holders keep a budget's last
+// tokens in few places, and the number of grants grows with the number of
+// failure domains rather than with the size of the fleet.
+func (v MemberFleet) Holders(shard int) []string {
 	winners := v.Table.WinnersByDomain(ledger.ObjectKey(shard))
 	out := make([]string, 0, len(winners))
 	for _, m := range winners {
@@ -28,12 +29,12 @@
 }
 
 // Witness implements budget.Fleet.
-func (v FleetView) Witness(except string) string { return v.Table.Partner("witness/", except) }
+func (v MemberFleet) Witness(except string) string { return v.Table.Partner("witness/", except) }
 
 // Silent implements budget.Fleet.
-func (v FleetView) Silent(incarnation string) bool { return v.Table.Silent(incarnation) }
+func (v MemberFleet) Silent(incarnation string) bool { return v.Table.Silent(incarnation) }
 
-// LedgerStore brings ledger changes to the platform.
+// LedgerStore implements budget.Ledger with the objects of the store.
 type LedgerStore struct{ Store store.Store }
 
 // Update implements budget.Ledger.
@@ -43,7 +44,7 @@
 		if err != nil {
 			return nil, err
 		}
-		// Compared as this side writes it: the store may lay the value out anew.
+		// Encoded again for the comparison below, because the store may reformat the value.
 		before, err := decoded.Encode()
 		if err != nil {
 			return nil, err
@@ -63,47 +64,47 @@
 	})
 }
 
-// ShardSizeError means that a ledger shard has outgrown the platform's largest
-// value: the deployment needs more shards.
+// ShardSizeError means that an encoded ledger shard would exceed
+// store.MaxValueBytes. The deployment needs more shards.
 type ShardSizeError struct {
 	Shard, Bytes int
 }
 
 // Error implements error.
 func (e *ShardSizeError) Error() string {
-	return fmt.Sprintf("ledger: shard %d would take %d bytes, more than the platform holds", e.Shard, e.Bytes)
+	return fmt.Sprintf("ledger: shard %d would take %d bytes, more than the maximum of %d", e.Shard, e.Bytes, store.MaxValueBytes)
 }
 
-// Observer writes the budget slice's decisions to the event log.
-type Observer struct{ Log *eventlog.Log }
+// EventObserver implements budget.Observer by writing events to the event log.
+type EventObserver struct{ Log *eventlog.Log }
 
 // GrantDrawn implements budget.Observer.
-func (o Observer) GrantDrawn(id, grant string, drawn int64) {
+func (o EventObserver) GrantDrawn(id, grant string, drawn int64) {
 	o.Log.Event(eventlog.GrantDrawn, "", eventlog.Fields{"budget": id, "grant": grant, "tokens": drawn})
 }
 
 // GrantLost implements budget.Observer.
-func (o Observer) GrantLost(id, grant string) {
+func (o EventObserver) GrantLost(id, grant string) {
 	o.Log.Event(eventlog.GrantLost, "", eventlog.Fields{"budget": id, "grant": grant})
 }
 
 // GrantReclaimed implements budget.Observer.
-func (o Observer) GrantReclaimed(id, grant, holder string, signed int64) {
+func (o EventObserver) GrantReclaimed(id, grant, holder string, signed int64) {
 	fields := eventlog.Fields{"budget": id, "grant": grant, "holder": holder, "signed": signed}
 	o.Log.Event(eventlog.GrantReclaimed, "", fields)
 }
 
 // GrantReturned implements budget.Observer.
-func (o Observer) GrantReturned(id, grant string, allocated int64) {
+func (o EventObserver) GrantReturned(id, grant string, allocated int64) {
 	o.Log.Event(eventlog.GrantReturned, "", eventlog.Fields{"budget": id, "grant": grant, "allocated": allocated})
 }
 
 // WitnessNamed implements budget.Observer.
-func (o Observer) WitnessNamed(id, grant, witness string) {
+func (o EventObserver) WitnessNamed(id, grant, witness string) {
 	o.Log.Event(eventlog.WitnessNamed, "", eventlog.Fields{"budget": id, "grant": grant, "witness": witness})
 }
 
 // BudgetReduced implements budget.Observer.
-func (o Observer) BudgetReduced(id string, free int64) {
+func (o EventObserver) BudgetReduced(id string, free int64) {
 	o.Log.Event(eventlog.BudgetReduced, "", eventlog.Fields{"budget": id, "below_by": -free})
 }
