--- a/pkg/httpcall/httpcall.go
+++ b/pkg/httpcall/httpcall.go
@@ -1,11 +1,11 @@
-// Package httpcall makes one HTTP call on one connection of its own.
+// Package httpcall makes HTTP calls, each on a new connection.
 //
-// Each call dials, sends, reads and closes. That settles three faults that
-// pooled connections bring: the client library repeats a request with an
-// idempotent method when a reused connection breaks, a pooled connection may
-// have gone silent for good, and a deadline that only stops waiting lets the
-// request run on. Here the end of the context closes the connection, and a
-// connection that was handed over is known before its first byte.
+// Each call dials, sends, reads and closes. This avoids three faults of pooled
+// connections: the client library repeats a request with an idempotent method
+// when a reused connection breaks, a pooled connection may have stopped
+// responding for good, and a deadline that only ends the wait lets the request
+// run on. Here the end of the context closes the connection, and
+// Options.OnSending is called before the first byte of the request is sent.
 package httpcall
 
 import (
@@ -26,12 +26,12 @@
 // Defaults of a call.
 const (
 	defaultDialTimeout  = time.Second
-	cleanerIntervalIdle = time.Second
+	maxIdleConnDuration = time.Second
 )
 
-// Error tells at which step and peer a call failed.
+// Error reports the step at which a call failed and the address called.
 type Error struct {
-	// Step is "dial" or "exchange".
+	// Step is "dial" until a connection is established, then "exchange".
 	Step string
 	// Peer is the address called.
 	Peer string
@@ -45,29 +45,31 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Options bounds one call.
+// Options configures one call.
 type Options struct {
 	// Address is the IP address and port to call.
 	Address string
-	// DialTimeout bounds the connection's set-up. Default 1 s.
+	// DialTimeout limits the time to establish the connection. Default 1 s.
 	DialTimeout time.Duration
-	// MaxResponseBytes bounds an answer that is read whole; 0 is no bound.
+	// MaxResponseBytes limits the body of a response that is not streamed; 0
+	// means no limit.
 	MaxResponseBytes int
-	// Stream leaves the answer's body to be read by the caller.
+	// Stream leaves the response body to be read by the caller.
 	Stream bool
-	// OnHanded is called when a connection is about to take the request.
+	// OnSending, if not nil, is called when the connection is established, before
+	// the request is sent.
 	OnHanded func()
 }
 
-// Call sends the request and reads the response, or its head if streaming.
-// The returned function ends the call and must be called; with a streamed body
-// only after the body has been read. When ctx ends, the connection is closed at
-// once, also while a body is being read. Errors are *Error.
+// Call sends the request and reads the response, or only its header if the body
+// is streamed. The returned function ends the call and must be called; with a
+// streamed body, only after the body has been read. When ctx ends, the connection
+// is closed immediately, even while a body is being read. Errors are *Error.
 func Call(ctx context.Context, opts Options, req *protocol.Request, resp *protocol.Response) (end func(), err error) {
 	if err := ctx.Err(); err != nil {
 		return func() {}, &Error{Step: "dial", Peer: opts.Address, Err: err}
 	}
-	dialer := &oneShotDialer{Dialer: standard.NewDialer(), onHanded: opts.OnHanded}
+	dialer := &oneShotDialer{Dialer: standard.NewDialer(), onSending: opts.OnHanded}
 	host := newHostClient(opts, dialer)
 	req.SetConnectionClose()
 	stop := context.AfterFunc(ctx, dialer.close)
@@ -77,7 +79,7 @@
 	}
 	if err := host.Do(ctx, req, resp); err != nil {
 		end()
-		return func() {}, &Error{Step: dialer.step(), Peer: opts.Address, Err: cause(ctx, err)}
+		return func() {}, &Error{Step: dialer.failedStep(), Peer: opts.Address, Err: withContextCause(ctx, err)}
 	}
 	return end, nil
 }
@@ -91,7 +93,7 @@
 		Dialer:              dialer,
 		DialTimeout:         dialTimeout,
 		MaxConns:            1,
-		MaxIdleConnDuration: cleanerIntervalIdle,
+		MaxIdleConnDuration: maxIdleConnDuration,
 		MaxResponseBodySize: opts.MaxResponseBytes,
 		ResponseBodyStream:  opts.Stream,
 	})
@@ -99,19 +101,18 @@
 	return host
 }
 
-func cause(ctx context.Context, err error) error {
+func withContextCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return errors.Join(context.Cause(ctx), err)
 	}
 	return err
 }
 
-// oneShotDialer dials at most once: a second dial would be the library sending
-// the request again, which is what a request that may not be repeated must
-// never suffer.
+// oneShotDialer dials at most once. A second dial would mean that the library
+// sends the request again, which must not happen to a non-idempotent request.
 type oneShotDialer struct {
 	network.Dialer
-	onHanded func()
+	onSending func()
 
 	mu     sync.Mutex
 	dialed bool
@@ -119,27 +120,27 @@
 	conn   network.Conn
 }
 
-// errSecondDial is returned when the library tries to send a request again.
+// errSecondDial is returned when the library tries to send the request again.
 var errSecondDial = errors.New("one connection per call: second dial refused")
 
-// errCallEnded is returned when the context ended before the connection stood.
+// errCallEnded is returned when the context ended before the connection was established.
 var errCallEnded = errors.New("call ended before its connection was made")
 
 // DialConnection implements network.Dialer.
 func (d *oneShotDialer) DialConnection(
 	netw, address string, timeout time.Duration, tlsConfig *tls.Config,
 ) (network.Conn, error) {
-	if !d.first() {
+	if !d.markDialed() {
 		return nil, errSecondDial
 	}
 	conn, err := d.Dialer.DialConnection(netw, address, timeout, tlsConfig)
 	if err != nil {
 		return nil, err
 	}
-	return d.adopt(conn)
+	return d.setConn(conn)
 }
 
-func (d *oneShotDialer) first() bool {
+func (d *oneShotDialer) markDialed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	first := !d.dialed
@@ -147,21 +148,21 @@
 	return first
 }
 
-func (d *oneShotDialer) adopt(conn network.Conn) (network.Conn, error) {
+func (d *oneShotDialer) setConn(conn network.Conn) (network.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		_ = conn.Close()
 		return nil, errCallEnded
 	}
-	if d.onHanded != nil {
-		d.onHanded()
+	if d.onSending != nil {
+		d.onSending()
 	}
 	d.conn = conn
 	return conn, nil
 }
 
-func (d *oneShotDialer) step() string {
+func (d *oneShotDialer) failedStep() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.conn == nil {
@@ -170,7 +171,8 @@
 	return "exchange"
 }
 
-// close ends the call's connection; it is safe to call more than once.
+// close closes the call's connection, also one that is established later. It is
+// safe to call more than once.
 func (d *oneShotDialer) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -46,7 +46,7 @@
 try claim-stands pkg/claim/shard.go 's/present != nil \{/false {/' pkg/claim TestAtMostOneRequestOfAKeyRuns
 try only-newer-generations pkg/configsync/state.go 's/a\.Generation <= s\.Generation\(a\.Service\)/false/' pkg/configsync TestConfigurationNeverReverts
 try leaving-is-passed-over pkg/dispatch/picker.go 's/upstream\.State == document\.StateLeaving/false/' pkg/dispatch TestLeavingUpstreamIsNotPicked
-try handed-before-first-byte pkg/httpcall/httpcall.go 's/\t\td\.onHanded\(\)\n//' test TestBrokenAnswerIsUnknownNeverTwice
+try handed-before-first-byte pkg/httpcall/httpcall.go 's/\t\td\.onSending\(\)\n//' test TestBrokenAnswerIsUnknownNeverTwice
 try end-mark pkg/upstream/stream.go 's/return Event\{\}, s\.readError\(err\)/return Event{End: true}, nil/' test TestCutStreamIsResumedWhole
 try answer-id pkg/upstream/stream.go 's/s\.resp\.Header\.Get\(chat\.HeaderRequestID\) != s\.id/false/; s/out\.Response\.ID != s\.id/false/' test TestCrossedAnswerNeverReachesTheCaller
 try drain-waits pkg/entry/entry.go 's/\t\te\.running\.Wait\(\)\n//' test TestPlannedStopCutsNothing
