--- a/pkg/tokens/tokens.go
+++ b/pkg/tokens/tokens.go
@@ -72,7 +72,7 @@
 
 // Error implements error.
 func (e *ShardSizeError) Error() string {
-	return fmt.Sprintf("ledger: shard %d would take %d bytes, more than the maximum of %d", e.Shard, e.Bytes, store.MaxValueBytes)
+	return fmt.Sprintf("ledger: shard %d would take %d bytes, more than the platform holds", e.Shard, e.Bytes)
 }
 
 // EventObserver implements budget.Observer by writing events to the event log.
