--- a/pkg/httpserve/httpserve.go
+++ b/pkg/httpserve/httpserve.go
@@ -1,5 +1,5 @@
-// Package httpserve starts HTTP servers with the bounds that every server of the
-// project shares.
+// Package httpserve starts HTTP servers with the timeouts and limits that all
+// servers of the project share.
 package httpserve
 
 import (
@@ -18,49 +18,51 @@
 	"github.com/cloudwego/hertz/pkg/protocol/consts"
 )
 
-// Bounds of every server.
+// Timeouts and limits of every server.
 const (
-	// defaultReadTimeout bounds the reading of one request, so that a caller who
-	// sends slowly or never ends holds one connection for a bounded time only.
+	// defaultReadTimeout limits the time to read one request, so that a client that
+	// sends slowly or never finishes cannot hold a connection forever.
 	defaultReadTimeout = 30 * time.Second
-	// idleTimeout bounds the silence between two requests of a connection.
+	// idleTimeout limits the time between two requests on a connection.
 	idleTimeout = 60 * time.Second
-	// exitWait bounds the wait for idle connections at a stop. Owners count
-	// their own requests and wait for them before they shut a server down:
-	// the library cuts streams off when this has passed.
-	exitWait = 200 * time.Millisecond
-	// maxHeaderBytes bounds a request's head.
+	// exitTimeout limits the wait for open connections at shutdown. The library
+	// cuts off streams after it, so the owner of a server must wait for its
+	// requests before it closes the server.
+	exitTimeout = 200 * time.Millisecond
+	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 64 << 10
 )
 
-// Options names a server.
+// Options configures a server.
 type Options struct {
 	// Address is the IP address and port to listen on.
 	Address string
-	// MaxBodyBytes bounds a request's body; above it the answer is 413.
+	// MaxBodyBytes limits the size of a request's body; a larger one is answered
+	// with 413.
 	MaxBodyBytes int
-	// TLS secures the connections; nil for plain ones.
+	// TLS configures TLS; nil means plain connections.
 	TLS *tls.Config
-	// ReadTimeout bounds the reading of one request. Default 30 s.
+	// ReadTimeout limits the time to read one request. Default 30 s.
 	ReadTimeout time.Duration
-	// SenseLeaving ends a request's context when its client closes the
+	// CancelOnDisconnect cancels a request's context when its client closes the
 	// connection.
 	SenseLeaving bool
-	// WrapConn, if not nil, stands before each accepted connection.
+	// WrapConn, if not nil, wraps each accepted connection.
 	WrapConn func(net.Conn) net.Conn
 }
 
 // Server is a running HTTP server.
 type Server struct {
-	// Hertz takes the routes.
+	// Hertz is the library's server, on which routes are registered.
 	*server.Hertz
 	listener net.Listener
 	done     chan struct{}
 }
 
-// Listen binds the address, so that a taken one is known at once.
+// Listen creates a server and binds its address, so that an address in use is
+// reported immediately. Serve starts answering requests.
 func Listen(opts Options) (*Server, error) {
-	hlog.SetOutput(io.Discard) // the library's own lines are not numbered events
+	hlog.SetOutput(io.Discard) // the library's own log lines are not events of the event log
 	listener, err := net.Listen("tcp", opts.Address)
 	if err != nil {
 		return nil, err
@@ -79,10 +81,10 @@
 		server.WithMaxRequestBodySize(opts.MaxBodyBytes),
 		server.WithMaxHeaderBytes(maxHeaderBytes),
 		server.WithReadTimeout(readTimeout),
-		server.WithOnAccept(boundFirstRead(readTimeout)),
+		server.WithOnAccept(limitFirstRead(readTimeout)),
 		server.WithIdleTimeout(idleTimeout),
 		server.WithKeepAliveTimeout(idleTimeout),
-		server.WithExitWaitTime(exitWait),
+		server.WithExitWaitTime(exitTimeout),
 		server.WithDisablePrintRoute(true),
 		server.WithUseRawPath(true),
 		server.WithDisablePreParseMultipartForm(true),
@@ -97,17 +99,18 @@
 	return &Server{Hertz: hertz, listener: listener, done: make(chan struct{})}, nil
 }
 
-// boundFirstRead bounds the reading of a connection's first request. The library
-// sets its read bound before later requests only: a caller who connects and sends
-// half a body would hold the connection for ever.
-func boundFirstRead(bound time.Duration) func(net.Conn) context.Context {
+// limitFirstRead returns a function that sets the read deadline for a connection's
+// first request. The library applies its read timeout only from the second request
+// on, so a client that connects and sends half a body would hold the connection
+// forever.
+func limitFirstRead(bound time.Duration) func(net.Conn) context.Context {
 	return func(conn net.Conn) context.Context {
 		_ = conn.SetReadDeadline(time.Now().Add(bound))
 		return context.Background()
 	}
 }
 
-// wrappedListener puts something before each connection.
+// wrappedListener wraps each accepted connection.
 type wrappedListener struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
@@ -122,33 +125,34 @@
 	return l.wrap(conn), nil
 }
 
-// abortWait bounds the wait for the library's reader. It ends at once when the
-// connection closes; it has ended before if the client sent more bytes.
-const abortWait = 100 * time.Millisecond
+// abortTimeout limits the wait for the library's reader. The reader stops as soon as
+// the connection closes, or has stopped earlier if the client sent more bytes.
+const abortTimeout = 100 * time.Millisecond
 
 // Abort closes a request's connection and waits until the library has stopped
-// reading from it; ctx is the handler's, of a server that senses clients' leaving.
-// When an answer cannot be ended the library gives the connection's buffers away
-// while its reader may still fill them: bytes of one client would land in another's
-// request. The reader ends ctx as its last act.
+// reading from it. ctx is the context of the handler, of a server with
+// CancelOnDisconnect. If a response cannot be completed, the library releases the
+// connection's buffers for reuse while its reader may still fill them, and bytes of
+// one client could end up in the request of another. The reader cancels ctx as its
+// last action.
 func Abort(ctx context.Context, c *app.RequestContext) {
 	_ = c.GetConn().Close()
 	select {
 	case <-ctx.Done():
-	case <-time.After(abortWait):
+	case <-time.After(abortTimeout):
 	}
 }
 
-// Take makes a handler that decodes a JSON body and hands it on; a body that is
-// none is answered with 400.
-func Take[T any](take func(T)) app.HandlerFunc {
+// HandleJSON returns a handler that decodes a JSON body and passes it to a function.
+// A body that cannot be decoded is answered with 400.
+func Take[T any](handle func(T)) app.HandlerFunc {
 	return func(_ context.Context, c *app.RequestContext) {
 		var body T
 		if json.Unmarshal(c.Request.Body(), &body) != nil {
 			c.SetStatusCode(consts.StatusBadRequest)
 			return
 		}
-		take(body)
+		handle(body)
 	}
 }
 
@@ -160,12 +164,12 @@
 	}()
 }
 
-// StopListening refuses new connections; open ones go on.
+// StopListening refuses new connections; open ones stay open.
 func (s *Server) StopListening() { _ = s.listener.Close() }
 
-// Close stops listening and ends the server.
+// Close stops listening and shuts down the server.
 func (s *Server) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*exitWait)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*exitTimeout)
 	defer cancel()
 	_ = s.Shutdown(ctx)
 	_ = s.listener.Close()
