--- a/pkg/instance/instance.go
+++ b/pkg/instance/instance.go
@@ -134,7 +134,7 @@
 func (i *Instance) provisionTLS() error {
 	var err error
 	if files := i.settings.CallerTLS; files != (settings.TLSFiles{}) {
-		i.clientServerTLS, err = tlsfiles.Caller(tlsfiles.Files(files))
+		i.clientServerTLS, err = tlsfiles.ServerConfig(tlsfiles.Files(files))
 	}
 	if files := i.settings.PeerTLS; err == nil && files != (settings.TLSFiles{}) {
 		i.peerServerTLS, i.peerClientTLS, err = tlsfiles.Peer(tlsfiles.Files(files))
--- a/pkg/tlsfiles/tlsfiles.go
+++ b/pkg/tlsfiles/tlsfiles.go
@@ -1,5 +1,5 @@
-// Package tlsfiles makes TLS settings from certificate files and follows the
-// files when they are replaced.
+// Package tlsfiles creates TLS configurations from certificate files and reloads
+// the certificate when its file is replaced.
 package tlsfiles
 
 import (
@@ -12,72 +12,73 @@
 	"time"
 )
 
-// PeerName is the DNS name that every instance's certificate carries. Instances
-// know each other by IP numbers that change; the name says that the bearer is
-// one of them, and the authority that it may say so.
+// PeerName is the DNS name in the certificate of every instance. Instances address
+// each other by IP addresses, which change, so certificates cannot be verified
+// against them. The name identifies the holder as an instance, and the signature of
+// the authority proves it.
 const PeerName = "lavenderring-peer"
 
-// checkEvery is the least time between two looks at the files.
-const checkEvery = time.Second
+// checkInterval is the minimum time between two checks of the certificate file.
+const checkInterval = time.Second
 
-// ErrNoAuthority means that a file holds no certificate of an authority.
+// ErrNoAuthority means that an authority file contains no usable certificate.
 var ErrNoAuthority = errors.New("no certificate of an authority in the file")
 
-// Files names a certificate, its key and, for peers, the authority that both
-// sides must be certified by.
+// Files holds the paths of a certificate, its key and, for peers, the certificate
+// of the authority that must have signed the certificates of both sides.
 type Files struct {
 	Certificate, Key, Authority string
 }
 
-// Keeper holds the newest valid certificate of its files.
-type Keeper struct {
+// CertReloader holds the newest valid certificate of its files.
+type CertReloader struct {
 	files Files
 
-	mu      sync.Mutex
-	current *tls.Certificate
-	read    time.Time
-	checked time.Time
+	mu        sync.Mutex
+	current   *tls.Certificate
+	loadedAt  time.Time
+	checkedAt time.Time
 }
 
-// Open reads the files for the first time.
-func Open(files Files) (*Keeper, error) {
-	k := &Keeper{files: files}
+// NewCertReloader returns a CertReloader that has loaded the certificate and key.
+func NewCertReloader(files Files) (*CertReloader, error) {
+	k := &CertReloader{files: files}
 	if err := k.load(); err != nil {
 		return nil, err
 	}
 	return k, nil
 }
 
-func (k *Keeper) load() error {
+func (k *CertReloader) load() error {
 	pair, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
 	if err != nil {
 		return fmt.Errorf("load certificate %s: %w", k.files.Certificate, err)
 	}
 	k.current = &pair
-	k.read = time.Now()
+	k.loadedAt = time.Now()
 	return nil
 }
 
-// Certificate returns the certificate to use now. Files that were replaced are
-// read again; while they do not fit together, as in the middle of a replacement,
-// the one before stays in use.
-func (k *Keeper) Certificate() *tls.Certificate {
+// Certificate returns the current certificate. If the certificate file has been
+// replaced, both files are loaded again. While certificate and key do not match,
+// as in the middle of a replacement, the previous certificate stays in use.
+func (k *CertReloader) Certificate() *tls.Certificate {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if time.Since(k.checked) < checkEvery {
+	if time.Since(k.checkedAt) < checkInterval {
 		return k.current
 	}
-	k.checked = time.Now()
+	k.checkedAt = time.Now()
 	info, err := os.Stat(k.files.Certificate)
-	if err == nil && info.ModTime().After(k.read) {
+	if err == nil && info.ModTime().After(k.loadedAt) {
 		_ = k.load()
 	}
 	return k.current
 }
 
-// Caller returns the settings of a server for callers.
-func Caller(files Files) (*tls.Config, error) {
-	k, err := Open(files)
+// ServerConfig returns the TLS configuration of a server for clients.
+func ServerConfig(files Files) (*tls.Config, error) {
+	k, err := NewCertReloader(files)
 	if err != nil {
 		return nil, err
 	}
@@ -87,15 +88,15 @@
 	}, nil
 }
 
-// Peer returns the settings of both ends between instances. Each demands of the
-// other a certificate of the authority under PeerName: whoever has none gets
-// nothing, neither tokens nor configuration.
+// PeerConfigs returns the TLS configurations of both sides of connections between
+// instances. Each side requires from the other a certificate for PeerName that the
+// authority signed, so that nobody else can get tokens or configuration.
 func Peer(files Files) (server, client *tls.Config, err error) {
-	k, err := Open(files)
+	k, err := NewCertReloader(files)
 	if err != nil {
 		return nil, nil, err
 	}
-	authorities, err := readAuthorities(files.Authority)
+	authorities, err := loadAuthorities(files.Authority)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -104,7 +105,7 @@
 		ClientAuth:       tls.RequireAndVerifyClientCert,
 		ClientCAs:        authorities,
 		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.Certificate(), nil },
-		VerifyConnection: mustBePeer,
+		VerifyConnection: verifyPeerName,
 	}
 	client = &tls.Config{
 		MinVersion:           tls.VersionTLS13,
@@ -115,13 +116,13 @@
 	return server, client, nil
 }
 
-// mustBePeer refuses a client whose certificate is the authority's but not an
-// instance's.
-func mustBePeer(state tls.ConnectionState) error {
+// verifyPeerName rejects a client whose certificate is signed by the authority but
+// does not belong to an instance.
+func verifyPeerName(state tls.ConnectionState) error {
 	return state.PeerCertificates[0].VerifyHostname(PeerName)
 }
 
-func readAuthorities(path string) (*x509.CertPool, error) {
+func loadAuthorities(path string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read authority: %w", err)
