--- a/pkg/ring/ring.go
+++ b/pkg/ring/ring.go
@@ -1,19 +1,19 @@
-// Package ring joins the goroutines of two duties by a bounded queue that
-// never blocks its writer.
+// Package ring provides a bounded queue between two goroutines that never blocks
+// the writer.
 package ring
 
-// Ring is a bounded first-in first-out queue. A full ring refuses: the writer
-// learns at once that the reader is behind, and memory stays bounded.
+// Queue is a bounded first-in, first-out queue. A full queue rejects items, so that
+// the writer learns immediately that the reader is behind and memory stays bounded.
 type Ring[T any] struct {
 	items chan T
 }
 
-// New returns a ring of the given capacity in items; capacity must be positive.
+// New returns a queue with the given capacity in items, which must be positive.
 func New[T any](capacity int) *Ring[T] {
 	return &Ring[T]{items: make(chan T, capacity)}
 }
 
-// TryPut adds an item and reports whether there was room for it.
+// TryPut adds an item if there is room for it and reports whether it did.
 func (r *Ring[T]) TryPut(item T) bool {
 	select {
 	case r.items <- item:
@@ -23,5 +23,5 @@
 	}
 }
 
-// Items returns the channel that the reading duty receives from.
+// Items returns the channel from which the reader receives items.
 func (r *Ring[T]) Items() <-chan T { return r.items }
