--- a/pkg/pause/pause.go
+++ b/pkg/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits without outliving a context.
+// Package pause provides a sleep that ends early with a context.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a duration and reports whether the context still stands.
+// For waits until d has passed or ctx has ended and reports whether d passed first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
