--- a/cmd/lavenderring/main.go
+++ b/cmd/lavenderring/main.go
@@ -1,5 +1,5 @@
-// Command lavenderring runs one instance of the router fleet and serves its
-// operators.
+// Command lavenderring runs one instance of the router fleet and provides the
+// commands for its operators.
 package main
 
 import (
@@ -202,11 +202,11 @@
 	return i.Run(ctx)
 }
 
-// route runs an instance on the users' platform. SIGHUP says that the settings
-// file has changed; what stands in it is where the process stands and listens,
-// which a running one cannot change, so it only checks the file.
+// route runs an instance on the users' platform. On SIGHUP, which signals that the
+// settings file has changed, it only checks the file: the settings say where the
+// process runs and listens, which cannot change while it runs.
 func route(ctx context.Context, path string) error {
-	// Before anything else: a hangup that nobody listens for ends the process.
+	// Before anything else, because a SIGHUP without a handler ends the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	s, err := settings.LoadRouter(path)
@@ -231,6 +231,6 @@
 	return r.Run(ctx)
 }
 
-// memoryPart is the part of the allowed memory, in percent, that the collector
-// keeps the heap below: the rest is for stacks, sockets and bursts.
+// memoryLimitPercent is the share of the allowed memory that is set as the garbage
+// collector's memory limit. The rest is left for stacks, sockets and bursts.
 const memoryLimitPercent = 60
