--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -46,7 +46,7 @@
 try claim-stands pkg/claim/shard.go 's/present != nil \{/false {/' pkg/claim TestAtMostOneRequestOfAKeyRuns
 try only-newer-generations pkg/configsync/state.go 's/a\.Generation <= s\.Generation\(a\.Service\)/false/' pkg/configsync TestConfigurationNeverReverts
 try leaving-is-passed-over pkg/dispatch/picker.go 's/upstream\.State == document\.StateLeaving/false/' pkg/dispatch TestLeavingUpstreamIsNotPicked
-try handed-before-first-byte pkg/httpcall/httpcall.go 's/\t\td\.onHanded\(\)\n//' test TestBrokenAnswerIsUnknownNeverTwice
+try handed-before-first-byte pkg/httpcall/httpcall.go 's/\t\td\.onSending\(\)\n//' test TestBrokenAnswerIsUnknownNeverTwice
 try end-mark pkg/upstream/stream.go 's/return Event\{\}, s\.readError\(err\)/return Event{End: true}, nil/' test TestCutStreamIsResumedWhole
 try answer-id pkg/upstream/stream.go 's/s\.resp\.Header\.Get\(chat\.HeaderRequestID\) != s\.id/false/; s/out\.Response\.ID != s\.id/false/' test TestCrossedAnswerNeverReachesTheCaller
 try drain-waits pkg/entry/entry.go 's/\t\te\.running\.Wait\(\)\n//' test TestPlannedStopCutsNothing
@@ -107,7 +107,7 @@
 try told-meanwhile-is-kept pkg/prepaid/recovery.go 's/reported\.serial <= r\.mergedSerial/reported.serial >= 0/' pkg/prepaid TestWhatIsToldDuringAWriteIsNotLost
 try an-end-counts-once pkg/follow/freshness.go 's/at\.Sub\(s\.outageEndedAt\) < sameOutageTolerance/at.Before(s.outageEndedAt)/' pkg/follow TestEndOfAnOutageCountsOnceAndAsOfItsTime
 try cut-off-alone-is-no-outage pkg/follow/follow.go 's/outage := !f\.Confirmed\w+\(\)/outage := true/' pkg/follow TestInstanceThatIsCutOffAloneHasNoOutage
-try documents-are-watched-shortly pkg/configsync/syncer.go 's/watchWait = 2 \* time/watchWait = 20 * time/' pkg/configsync TestLostWatchHidesNoDocument
+try documents-are-watched-shortly pkg/configsync/syncer.go 's/watchTimeout = 2 \* time/watchTimeout = 20 * time/' pkg/configsync TestLostWatchHidesNoDocument
 try faulty-entry-is-out platform/copies.go 's/c\.Registry\.Discard\(id\)\n\t\treturn/return/' platform TestFaultyEntriesAreToldOnceAndTheOthersHold
 q=pkg/quarantine
 try three-crashes-condemn $q/record.go 's/return consecutive >= CondemnAtMost \|\| \(consecutive > 0 && r\.Verdict > r\.Cleared\)/return consecutive < 0/' test TestRequestThatCrashesUpstreamsIsSentOnAFewTimesOnly
