--- a/pkg/bill/bill_test.go
+++ b/pkg/bill/bill_test.go
@@ -16,14 +16,14 @@
 )
 
 // direct brings copies to one keeper, unless the message or its answer is lost.
-type direct struct {
+type lossyPeer struct {
 	keeper *Keeper
 	rng    *rand.Rand
 }
 
 var errLost = errors.New("lost")
 
-func (d direct) Keep(ctx context.Context, _ string, req *billpb.KeepRequest) (*billpb.KeepReply, error) {
+func (d lossyPeer) Keep(ctx context.Context, _ string, req *billpb.KeepRequest) (*billpb.KeepReply, error) {
 	if d.rng.IntN(5) == 0 {
 		return nil, errLost
 	}
@@ -52,7 +52,7 @@
 	rng := rand.New(rand.NewPCG(seed, 9))
 	store := storefake.New(seed)
 	keeper := NewKeeper(store)
-	j := NewJournal("i", store, direct{keeper, rng}, func() string { return "peer" })
+	j := NewJournal("i", store, lossyPeer{keeper, rng}, func() string { return "peer" })
 	silent := func(string) bool { return true }
 	store.SetBetween(0.2, func() { _ = keeper.TakeOver(ctx, silent) })
 	billed := 0
@@ -83,10 +83,10 @@
 }
 
 // finishHistory ends with the instance alive, or dead with a copy at its keeper.
-func finishHistory(ctx context.Context, store *storefake.Store, keeper *Keeper, j *Journal, dies bool, billed int) string {
+func finishHistory(ctx context.Context, store *storefake.Store, keeper *Keeper, j *Journal, crashes bool, billed int) string {
 	store.SetFaults(false, 0)
 	store.SetBetween(0, nil)
-	if dies {
+	if crashes {
 		for j.Copy(ctx) != nil {
 			continue
 		}
@@ -104,7 +104,7 @@
 		return fmt.Sprintf("billed twice: %v", statement.Doubles)
 	}
 	if len(statement.Bills) != billed {
-		return fmt.Sprintf("%d requests were billed, %d bills stand (instance died: %v)", billed, len(statement.Bills), dies)
+		return fmt.Sprintf("%d requests were billed, %d bills stand (instance died: %v)", billed, len(statement.Bills), crashes)
 	}
 	return ""
 }
@@ -116,7 +116,7 @@
 	store.SetFaults(true, 0)
 	keeper := NewKeeper(store)
 	largest := 0
-	j := NewJournal("i", store, sizes{keeper, &largest}, func() string { return "peer" })
+	j := NewJournal("i", store, sizeRecorder{keeper, &largest}, func() string { return "peer" })
 	const requests = 2*maxCopyRecords + 10
 	for n := range requests {
 		j.Open(fmt.Sprint(n), "s/a", 100)
@@ -135,12 +135,12 @@
 }
 
 // sizes notes the largest message to a keeper.
-type sizes struct {
+type sizeRecorder struct {
 	keeper  *Keeper
 	largest *int
 }
 
-func (s sizes) Keep(ctx context.Context, _ string, req *billpb.KeepRequest) (*billpb.KeepReply, error) {
+func (s sizeRecorder) Keep(ctx context.Context, _ string, req *billpb.KeepRequest) (*billpb.KeepReply, error) {
 	*s.largest = max(*s.largest, len(req.Records))
 	return s.keeper.Keep(ctx, req)
 }
--- a/pkg/bill/journal.go
+++ b/pkg/bill/journal.go
@@ -36,7 +36,7 @@
 
 // maxPending bounds the records that wait for the store. Beyond it new requests
 // are refused: a bill is never dropped.
-const maxPending = 200_000
+const maxPendingRecords = 200_000
 
 // Segment is a batch of one incarnation's records.
 type Segment struct {
@@ -52,34 +52,34 @@
 // Journal holds this instance's records until they are durable. It is safe for
 // concurrent use.
 type Journal struct {
-	self  string
-	store store.Store
-	peers Peers
-	peer  func() string
+	self        string
+	store       store.Store
+	peers       Peers
+	currentPeer func() string
 
-	mu       sync.Mutex
-	seq      uint64
-	pending  []*billpb.Record
-	open     map[string]*billpb.Record
-	durable  uint64
-	kept     map[string]uint64 // by peer
-	segment  uint64
-	flushing sync.Mutex
+	mu          sync.Mutex
+	seq         uint64
+	pending     []*billpb.Record
+	openRecords map[string]*billpb.Record
+	durableSeq  uint64
+	keptSeq     map[string]uint64 // by peer
+	nextSegment uint64
+	flushMu     sync.Mutex
 	// copying is held by the one copy at a time; those that wait for it find
 	// their records copied with the ones before.
-	copying      sync.Mutex
+	copyMu       sync.Mutex
 	copyFailedAt time.Time
 }
 
 // NewJournal returns an empty journal; peer names whom to keep copies with.
 func NewJournal(self string, target store.Store, peers Peers, peer func() string) *Journal {
 	return &Journal{
-		self:  self,
-		store: target,
-		peers: peers,
-		peer:  peer,
-		open:  map[string]*billpb.Record{},
-		kept:  map[string]uint64{},
+		self:        self,
+		store:       target,
+		peers:       peers,
+		currentPeer: peer,
+		openRecords: map[string]*billpb.Record{},
+		keptSeq:     map[string]uint64{},
 	}
 }
 
@@ -87,48 +87,48 @@
 func (j *Journal) Full() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return len(j.pending) >= maxPending
+	return len(j.pending) >= maxPendingRecords
 }
 
 // Open records that a request is about to be dispatched with a bound in tokens.
-func (j *Journal) Open(request, budget string, bound int64) {
+func (j *Journal) Open(request, budget string, maxTokens int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.open[request] = j.add(request, budget, bound, OutcomeOpen)
+	j.openRecords[request] = j.appendRecord(request, budget, maxTokens, OutcomeOpen)
 }
 
 // Bounds of securing a record.
 const (
 	// secureTimeout bounds the wait of one request for its record's copy.
-	secureTimeout = 300 * time.Millisecond
+	copyWaitTimeout = 300 * time.Millisecond
 	// secureAgainAfter is how long after a copy that failed nobody waits for one.
-	secureAgainAfter = time.Second
+	copyRetryInterval = time.Second
 )
 
 // Secure waits until every record so far has a copy, so that a request that is
 // about to be dispatched leaves a trace even if this instance dies at once. It
 // gives up after a short while: with the peer out of reach the records are lost
 // only if this instance dies too before they are in the store.
-func (j *Journal) Secure(ctx context.Context) {
+func (j *Journal) WaitForCopy(ctx context.Context) {
 	j.mu.Lock()
 	upTo := j.seq
 	j.mu.Unlock()
-	j.copying.Lock()
-	defer j.copying.Unlock()
-	if j.secured(upTo) || time.Since(j.copyFailedAt) < secureAgainAfter {
+	j.copyMu.Lock()
+	defer j.copyMu.Unlock()
+	if j.hasCopy(upTo) || time.Since(j.copyFailedAt) < copyRetryInterval {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, secureTimeout)
+	ctx, cancel := context.WithTimeout(ctx, copyWaitTimeout)
 	defer cancel()
 	if j.copyLocked(ctx) != nil {
 		j.copyFailedAt = time.Now()
 	}
 }
 
-func (j *Journal) secured(upTo uint64) bool {
+func (j *Journal) hasCopy(upTo uint64) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.durable >= upTo || j.kept[j.peer()] >= upTo
+	return j.durableSeq >= upTo || j.keptSeq[j.currentPeer()] >= upTo
 }
 
 // Settle records a request's bill. Settling a request that is not open changes
@@ -136,15 +136,15 @@
 func (j *Journal) Settle(request string, tokens int64, outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	opened := j.open[request]
+	opened := j.openRecords[request]
 	if opened == nil {
 		return
 	}
-	delete(j.open, request)
-	j.add(request, opened.Budget, tokens, outcome)
+	delete(j.openRecords, request)
+	j.appendRecord(request, opened.Budget, tokens, outcome)
 }
 
-func (j *Journal) add(request, budget string, tokens int64, outcome string) *billpb.Record {
+func (j *Journal) appendRecord(request, budget string, tokens int64, outcome string) *billpb.Record {
 	j.seq++
 	record := &billpb.Record{
 		Seq:      j.seq,
@@ -160,17 +160,17 @@
 
 // Copy brings new records to the peer.
 func (j *Journal) Copy(ctx context.Context) error {
-	j.copying.Lock()
-	defer j.copying.Unlock()
+	j.copyMu.Lock()
+	defer j.copyMu.Unlock()
 	return j.copyLocked(ctx)
 }
 
 func (j *Journal) copyLocked(ctx context.Context) error {
-	peer := j.peer()
+	peer := j.currentPeer()
 	if peer == "" {
 		return nil
 	}
-	req, upTo := j.copyRequest(peer)
+	req, upTo := j.nextKeepRequest(peer)
 	if req == nil {
 		return nil
 	}
@@ -179,18 +179,18 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.kept[peer] = max(j.kept[peer], upTo)
+	j.keptSeq[peer] = max(j.keptSeq[peer], upTo)
 	return nil
 }
 
-func (j *Journal) copyRequest(peer string) (*billpb.KeepRequest, uint64) {
+func (j *Journal) nextKeepRequest(peer string) (*billpb.KeepRequest, uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	kept := j.kept[peer]
+	kept := j.keptSeq[peer]
 	if j.seq == kept {
 		return nil, 0
 	}
-	req := &billpb.KeepRequest{Incarnation: j.self, Durable: j.durable, Segment: j.segment}
+	req := &billpb.KeepRequest{Incarnation: j.self, Durable: j.durableSeq, Segment: j.nextSegment}
 	upTo := j.seq
 	for _, record := range j.pending {
 		if record.Seq <= kept {
@@ -214,11 +214,11 @@
 // Flush writes all pending records to the store. Records of requests under way
 // are written as they are: their bills follow.
 func (j *Journal) Flush(ctx context.Context) error {
-	j.flushing.Lock()
-	defer j.flushing.Unlock()
+	j.flushMu.Lock()
+	defer j.flushMu.Unlock()
 	j.mu.Lock()
 	records := append([]*billpb.Record(nil), j.pending...)
-	next := j.segment
+	next := j.nextSegment
 	j.mu.Unlock()
 	if len(records) == 0 {
 		return nil
@@ -226,19 +226,19 @@
 	next, rest, err := writeSegments(ctx, j.store, j.self, next, records)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.segment = next
-	j.drop(records, rest)
+	j.nextSegment = next
+	j.removeWritten(records, rest)
 	return err
 }
 
 // drop forgets the records that were written; they lead the pending ones, and
 // the rest of the attempt follows them.
-func (j *Journal) drop(tried, rest []*billpb.Record) {
+func (j *Journal) removeWritten(tried, rest []*billpb.Record) {
 	written := len(tried) - len(rest)
 	if written == 0 {
 		return
 	}
-	j.durable = max(j.durable, tried[written-1].Seq)
+	j.durableSeq = max(j.durableSeq, tried[written-1].Seq)
 	j.pending = append([]*billpb.Record(nil), j.pending[written:]...)
 }
 
@@ -261,7 +261,7 @@
 		key := segmentKey(incarnation, next)
 		if _, err = target.Put(ctx, key, value, store.NoPosition); err == nil {
 			records = records[len(batch):]
-		} else if records, err = withoutStored(ctx, target, key, records, err); err != nil {
+		} else if records, err = removeStored(ctx, target, key, records, err); err != nil {
 			return next, records, err
 		}
 		next++
@@ -274,7 +274,7 @@
 }
 
 // withoutStored settles a failed create by reading the segment back.
-func withoutStored(
+func removeStored(
 	ctx context.Context, target store.Store, key string, records []*billpb.Record, cause error,
 ) ([]*billpb.Record, error) {
 	if !errors.Is(cause, store.ErrConflict) && !errors.Is(cause, store.ErrUncertain) {
--- a/pkg/bill/keeper.go
+++ b/pkg/bill/keeper.go
@@ -13,21 +13,21 @@
 type Keeper struct {
 	store store.Store
 	// taking is held by the one takeover at a time.
-	taking sync.Mutex
+	takeOverMu sync.Mutex
 
 	mu     sync.Mutex
-	copies map[string]*copies
+	copies map[string]*recordCopies
 }
 
 // copies is what is kept of one incarnation.
-type copies struct {
-	segment uint64
-	records map[uint64]*billpb.Record
+type recordCopies struct {
+	nextSegment uint64
+	records     map[uint64]*billpb.Record
 }
 
 // NewKeeper returns a keeper without copies.
 func NewKeeper(target store.Store) *Keeper {
-	return &Keeper{store: target, copies: map[string]*copies{}}
+	return &Keeper{store: target, copies: map[string]*recordCopies{}}
 }
 
 // Keep takes copies and drops those that are durable. A copy that comes twice
@@ -37,10 +37,10 @@
 	defer k.mu.Unlock()
 	c := k.copies[req.Incarnation]
 	if c == nil {
-		c = &copies{records: map[uint64]*billpb.Record{}}
+		c = &recordCopies{records: map[uint64]*billpb.Record{}}
 		k.copies[req.Incarnation] = c
 	}
-	c.segment = max(c.segment, req.Segment)
+	c.nextSegment = max(c.nextSegment, req.Segment)
 	kept := req.Durable
 	for _, record := range req.Records {
 		c.records[record.Seq] = record
@@ -57,29 +57,29 @@
 // TakeOver writes the records kept for incarnations that are silent. It may be
 // early: the segments' names make sure that each record lands once.
 func (k *Keeper) TakeOver(ctx context.Context, silent func(incarnation string) bool) error {
-	if !k.taking.TryLock() {
+	if !k.takeOverMu.TryLock() {
 		return nil
 	}
-	defer k.taking.Unlock()
-	for incarnation, left := range k.left(silent) {
-		if _, _, err := writeSegments(ctx, k.store, incarnation, left.segment, left.records); err != nil {
+	defer k.takeOverMu.Unlock()
+	for incarnation, unwritten := range k.unwrittenOf(silent) {
+		if _, _, err := writeSegments(ctx, k.store, incarnation, unwritten.nextSegment, unwritten.records); err != nil {
 			return err
 		}
-		k.forget(incarnation, left.records)
+		k.forget(incarnation, unwritten.records)
 	}
 	return nil
 }
 
 // leftRecords is what a silent incarnation has not been known to write.
-type leftRecords struct {
-	segment uint64
-	records []*billpb.Record
+type unwrittenRecords struct {
+	nextSegment uint64
+	records     []*billpb.Record
 }
 
-func (k *Keeper) left(silent func(string) bool) map[string]leftRecords {
+func (k *Keeper) unwrittenOf(silent func(string) bool) map[string]unwrittenRecords {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	out := map[string]leftRecords{}
+	out := map[string]unwrittenRecords{}
 	for incarnation, kept := range k.copies {
 		if len(kept.records) > 0 && silent(incarnation) {
 			out[incarnation] = kept.sorted()
@@ -88,13 +88,13 @@
 	return out
 }
 
-func (c *copies) sorted() leftRecords {
+func (c *recordCopies) sorted() unwrittenRecords {
 	list := make([]*billpb.Record, 0, len(c.records))
 	for _, record := range c.records {
 		list = append(list, record)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Seq < list[j].Seq })
-	return leftRecords{segment: c.segment, records: list}
+	return unwrittenRecords{nextSegment: c.nextSegment, records: list}
 }
 
 func (k *Keeper) forget(incarnation string, written []*billpb.Record) {
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -32,75 +32,75 @@
 	checkClaims(t, 300, true)
 }
 
-func checkClaims(t *testing.T, histories int, goesBack bool) {
+func checkClaims(t *testing.T, histories int, restores bool) {
 	t.Helper()
 	parameters := gopter.DefaultTestParametersWithSeed(5)
 	parameters.MinSuccessfulTests = histories
 	properties := gopter.NewProperties(parameters)
 	properties.Property("one run for each key", prop.ForAll(func(seed uint64) string {
 		failure := ""
-		synctest.Test(t, func(t *testing.T) { failure = claimHistory(t, seed, goesBack) })
+		synctest.Test(t, func(t *testing.T) { failure = claimHistory(t, seed, restores) })
 		return failure
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
 // others are the other instances of a history.
-type others []string
+type fixedFleet []string
 
 // Others implements Fleet.
-func (o others) Others() []string { return o }
+func (o fixedFleet) Others() []string { return o }
 
 // presses is how often the callers of one history press.
-const presses = 60
+const numRequests = 60
 
-func claimHistory(t *testing.T, seed uint64, goesBack bool) string {
+func claimHistory(t *testing.T, seed uint64, restores bool) string {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	store := storefake.New(seed)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	defer time.Sleep(2 * tellSpread) // what was begun ends
+	defer time.Sleep(2 * maxReportDelay) // what was begun ends
 	var claimers []*Claimer
-	names := others{"a", "b", "c"}
+	names := fixedFleet{"a", "b", "c"}
 	for n, name := range names {
 		c := NewClaimer(name, store, slices.Delete(slices.Clone(names), n, n+1), 2, time.Now)
 		go c.Run(ctx)
 		claimers = append(claimers, c)
 	}
 	ran := map[string]string{}
-	pressed := 0
-	press := func() string {
-		pressed++
+	sent := 0
+	send := func() string {
+		sent++
 		key := Key("s/a", fmt.Sprint(rng.IntN(4)))
-		request := fmt.Sprintf("request-%d", pressed)
+		request := fmt.Sprintf("request-%d", sent)
 		c := claimers[rng.IntN(len(claimers))]
-		pressCtx, done := context.WithTimeout(ctx, time.Second)
+		sendCtx, done := context.WithTimeout(ctx, time.Second)
 		defer done()
-		standing, taken, err := c.Take(pressCtx, key, Claim{Request: request, Holder: "i"})
+		existing, acquired, err := c.Acquire(sendCtx, key, Claim{Request: request, Holder: "i"})
 		switch {
 		case err != nil:
 			c.Release(ctx, key, request)
-		case taken && ran[key] != "" && ran[key] != request:
+		case acquired && ran[key] != "" && ran[key] != request:
 			return fmt.Sprintf("%s ran for %s, and %s too", ran[key], key, request)
-		case taken:
+		case acquired:
 			ran[key] = request
 			if rng.IntN(2) == 0 {
 				c.Finish(ctx, key, request, outcome.Ran, &Answer{Status: 200, Body: []byte(request)})
 			}
-		case standing.Outcome == outcome.Ran && string(standing.Answer.Body) != ran[key]:
-			return fmt.Sprintf("the answer of %s is recorded, %s ran", standing.Answer.Body, ran[key])
+		case existing.Outcome == outcome.Ran && string(existing.Answer.Body) != ran[key]:
+			return fmt.Sprintf("the answer of %s is recorded, %s ran", existing.Answer.Body, ran[key])
 		}
 		return ""
 	}
-	for pressed < presses {
+	for sent < numRequests {
 		store.SetFaults(rng.IntN(6) == 0, 0.4*rng.Float64())
-		if goesBack && rng.IntN(8) == 0 {
+		if restores && rng.IntN(8) == 0 {
 			store.GoBack(1 + rng.IntN(6))
 			for _, c := range claimers {
 				c.NoteEra()
 			}
 		}
-		if failure := press(); failure != "" {
+		if failure := send(); failure != "" {
 			return failure
 		}
 	}
@@ -119,7 +119,7 @@
 	const claims = 200
 	for n := range claims {
 		key := fmt.Sprint(n)
-		s.take(key, Claim{Request: key})
+		s.acquire(key, Claim{Request: key})
 		s.finish(key, key, outcome.Ran, &Answer{Body: make([]byte, MaxAnswerBytes)}, now.Add(time.Duration(n)*time.Second))
 	}
 	value, fits, err := s.encode()
@@ -139,9 +139,9 @@
 		t.Fatal(err)
 	}
 	now := time.Unix(1_700_000_000, 0)
-	s.take("done", Claim{Request: "1"})
+	s.acquire("done", Claim{Request: "1"})
 	s.finish("done", "1", outcome.Ran, nil, now)
-	s.take("open", Claim{Request: "2", AtMillis: now.UnixMilli()})
+	s.acquire("open", Claim{Request: "2", AtMillis: now.UnixMilli()})
 	s.prune(now.Add(Retention + time.Second))
 	if s.Claims["done"] != nil || s.Claims["open"] == nil {
 		t.Errorf("left: %v", s.Claims)
--- a/pkg/claim/claimer.go
+++ b/pkg/claim/claimer.go
@@ -17,11 +17,11 @@
 // Sizes of the claiming duty.
 const (
 	// queueLength bounds the operations that wait for one shard's next write.
-	queueLength = 1024
+	maxQueuedOperations = 1024
 	// writeTimeout bounds one group's write, its retries included.
 	writeTimeout = 5 * time.Second
 	// finishRetryPause is the pause before an outcome is written again.
-	finishRetryPause = time.Second
+	backgroundRetryInterval = time.Second
 )
 
 // ErrBusy refuses an operation because too many wait.
@@ -46,19 +46,19 @@
 	self   string
 	store  store.Lister
 	fleet  Fleet
-	shards []*ring.Ring[operation]
+	queues []*ring.Ring[operation]
 	// seen are the recent claims of each shard; touched by its goroutine only.
-	seen []map[string]*Claim
-	now  func() time.Time
+	recentClaims []map[string]*Claim
+	now          func() time.Time
 
-	unsent sync.WaitGroup
+	backgroundOps sync.WaitGroup
 }
 
 // NewClaimer returns the claimer of an incarnation over so many shards; Run must be called.
 func NewClaimer(self string, store store.Lister, fleet Fleet, shards int, now func() time.Time) *Claimer {
-	c := &Claimer{self: self, store: store, fleet: fleet, seen: make([]map[string]*Claim, shards), now: now}
+	c := &Claimer{self: self, store: store, fleet: fleet, recentClaims: make([]map[string]*Claim, shards), now: now}
 	for i := 0; i < shards; i++ {
-		c.shards = append(c.shards, ring.New[operation](queueLength))
+		c.queues = append(c.queues, ring.New[operation](maxQueuedOperations))
 	}
 	return c
 }
@@ -66,7 +66,7 @@
 // Run commits operations until ctx ends; one goroutine a shard.
 func (c *Claimer) Run(ctx context.Context) {
 	var running sync.WaitGroup
-	for shard, queue := range c.shards {
+	for shard, queue := range c.queues {
 		running.Go(func() { c.runShard(ctx, shard, queue) })
 	}
 	running.Wait()
@@ -76,7 +76,7 @@
 	for {
 		select {
 		case first := <-queue.Items():
-			c.commit(ctx, shard, gather(first, queue))
+			c.commit(ctx, shard, collectWaiting(first, queue))
 		case <-ctx.Done():
 			return
 		}
@@ -84,9 +84,9 @@
 }
 
 // gather takes everything that waits, so that one write carries it all.
-func gather(first operation, queue *ring.Ring[operation]) []operation {
+func collectWaiting(first operation, queue *ring.Ring[operation]) []operation {
 	group := []operation{first}
-	for len(group) < queueLength {
+	for len(group) < maxQueuedOperations {
 		select {
 		case next := <-queue.Items():
 			group = append(group, next)
@@ -108,18 +108,18 @@
 			return nil, err
 		}
 		after = decoded
-		decoded.enterEra(object.Position.Era)
+		decoded.beginEra(object.Position.Era)
 		decoded.prune(c.now())
 		if decoded.Unsettled {
-			decoded.bringBack(c.seen[shard])
-			decoded.settle(c.self, c.fleet.Others())
+			decoded.restore(c.recentClaims[shard])
+			decoded.markReported(c.self, c.fleet.Others())
 		}
 		for _, op := range group {
 			op.apply(decoded)
 		}
 		encoded, fits, err := decoded.encode()
 		if err == nil && !fits {
-			err = &FullError{Step: "claim", Peer: key}
+			err = &FullError{Step: "claim", Key: key}
 		}
 		if err == nil && !object.Position.IsZero() && string(encoded) == string(object.Value) {
 			err = store.ErrUnchanged
@@ -127,16 +127,16 @@
 		return encoded, err
 	})
 	if err == nil {
-		c.seen[shard] = after.recent(c.now())
+		c.recentClaims[shard] = after.recentClaims(c.now())
 	}
 	for _, op := range group {
 		op.done <- err
 	}
 }
 
-func (c *Claimer) do(ctx context.Context, key string, apply func(*Shard)) error {
+func (c *Claimer) apply(ctx context.Context, key string, apply func(*Shard)) error {
 	op := operation{apply: apply, done: make(chan error, 1)}
-	if !c.shards[shardOf(key, len(c.shards))].TryPut(op) {
+	if !c.queues[shardOf(key, len(c.queues))].TryPut(op) {
 		return ErrBusy
 	}
 	select {
@@ -151,44 +151,44 @@
 // it is the taker's own. After an error nothing is known about the claim, the
 // request must not be dispatched, and the caller releases it. With ErrUnsettled an earlier request
 // under the key may have run.
-func (c *Claimer) Take(ctx context.Context, key string, claim Claim) (Claim, bool, error) {
+func (c *Claimer) Acquire(ctx context.Context, key string, claim Claim) (Claim, bool, error) {
 	for {
-		r, err := c.takeOnce(ctx, key, claim)
+		r, err := c.tryAcquire(ctx, key, claim)
 		if err != nil || !r.unsettled {
-			return r.claim, r.taken, err
+			return r.claim, r.acquired, err
 		}
-		if !pause.For(ctx, unsettledPoll) {
+		if !pause.For(ctx, unsettledPollInterval) {
 			return Claim{}, false, ErrUnsettled
 		}
 	}
 }
 
-func (c *Claimer) takeOnce(ctx context.Context, key string, claim Claim) (takeResult, error) {
+func (c *Claimer) tryAcquire(ctx context.Context, key string, claim Claim) (acquireResult, error) {
 	claim.AtMillis = c.now().UnixMilli()
-	result := make(chan takeResult, 1)
-	err := c.do(ctx, key, func(s *Shard) {
+	result := make(chan acquireResult, 1)
+	err := c.apply(ctx, key, func(s *Shard) {
 		if s.Unsettled && s.Claims[key] == nil {
-			replace(result, takeResult{unsettled: true})
+			replaceResult(result, acquireResult{unsettled: true})
 			return
 		}
-		standing, taken := s.take(key, claim)
-		replace(result, takeResult{claim: *standing, taken: taken})
+		existing, acquired := s.acquire(key, claim)
+		replaceResult(result, acquireResult{claim: *existing, acquired: acquired})
 	})
 	if err != nil {
-		return takeResult{}, err
+		return acquireResult{}, err
 	}
 	return <-result, nil
 }
 
-type takeResult struct {
-	claim Claim
-	taken bool
+type acquireResult struct {
+	claim    Claim
+	acquired bool
 	// unsettled says that the key may have been claimed before the store went back.
 	unsettled bool
 }
 
 // replace keeps the newest result: an update that met a conflict runs again.
-func replace(result chan takeResult, r takeResult) {
+func replaceResult(result chan acquireResult, r acquireResult) {
 	select {
 	case <-result:
 	default:
@@ -199,7 +199,7 @@
 // Read returns the claim that stands for a key; nil if there is none. ErrUnsettled means that there
 // may be one that the store has lost.
 func (c *Claimer) Read(ctx context.Context, key string) (*Claim, error) {
-	object, err := store.ReadEraObject(ctx, c.store, shardKey(shardOf(key, len(c.shards))))
+	object, err := store.ReadEraObject(ctx, c.store, shardKey(shardOf(key, len(c.queues))))
 	if err != nil {
 		return nil, err
 	}
@@ -207,7 +207,7 @@
 	if err != nil {
 		return nil, err
 	}
-	shard.enterEra(object.Position.Era)
+	shard.beginEra(object.Position.Era)
 	if shard.Unsettled && shard.Claims[key] == nil {
 		return nil, ErrUnsettled
 	}
@@ -216,24 +216,24 @@
 
 // Finish records a request's outcome in the background, again and again until
 // it is written or ctx ends.
-func (c *Claimer) Finish(ctx context.Context, key, request string, word outcome.Word, answer *Answer) {
+func (c *Claimer) Finish(ctx context.Context, key, request string, result outcome.Outcome, answer *Answer) {
 	if answer != nil && len(answer.Body) > MaxAnswerBytes {
 		answer = &Answer{Status: answer.Status, ContentType: answer.ContentType, Omitted: true}
 	}
-	c.inBackground(ctx, key, func(s *Shard) { s.finish(key, request, word, answer, c.now()) })
+	c.applyInBackground(ctx, key, func(s *Shard) { s.finish(key, request, result, answer, c.now()) })
 }
 
 // Release gives a key back in the background whose request did not run.
 func (c *Claimer) Release(ctx context.Context, key, request string) {
-	c.inBackground(ctx, key, func(s *Shard) { s.release(key, request) })
+	c.applyInBackground(ctx, key, func(s *Shard) { s.release(key, request) })
 }
 
-func (c *Claimer) inBackground(ctx context.Context, key string, apply func(*Shard)) {
-	c.unsent.Add(1)
+func (c *Claimer) applyInBackground(ctx context.Context, key string, apply func(*Shard)) {
+	c.backgroundOps.Add(1)
 	go func() {
-		defer c.unsent.Done()
-		for ctx.Err() == nil && c.do(ctx, key, apply) != nil {
-			pause.For(ctx, finishRetryPause)
+		defer c.backgroundOps.Done()
+		for ctx.Err() == nil && c.apply(ctx, key, apply) != nil {
+			pause.For(ctx, backgroundRetryInterval)
 		}
 	}()
 }
@@ -242,7 +242,7 @@
 func (c *Claimer) Flush(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		c.unsent.Wait()
+		c.backgroundOps.Wait()
 		close(done)
 	}()
 	select {
--- a/pkg/claim/recovery.go
+++ b/pkg/claim/recovery.go
@@ -20,11 +20,11 @@
 const (
 	// rememberedFor is how long ago a claim was written that is remembered: a copy is some
 	// seconds old.
-	rememberedFor = time.Minute
+	recentClaimLifetime = time.Minute
 	// tellSpread is the time over which an instance writes to its shards.
-	tellSpread = 300 * time.Millisecond
+	maxReportDelay = 300 * time.Millisecond
 	// unsettledPoll is the pause before a key is looked up again in an unsettled shard.
-	unsettledPoll = 100 * time.Millisecond
+	unsettledPollInterval = 100 * time.Millisecond
 )
 
 // Fleet tells of the other instances.
@@ -34,15 +34,15 @@
 }
 
 // enterEra makes a shard, which was copied from an older era's object, the one of an era.
-func (s *Shard) enterEra(era store.Era) {
+func (s *Shard) beginEra(era store.Era) {
 	if era > store.FirstEra && s.Era != uint64(era) {
-		s.Era, s.Unsettled, s.Told = uint64(era), true, nil
+		s.Era, s.Unsettled, s.ReportedBy = uint64(era), true, nil
 	}
 }
 
 // bringBack adds claims that the shard lacks, and the outcomes of those that it has without.
-func (s *Shard) bringBack(seen map[string]*Claim) {
-	for key, claim := range seen {
+func (s *Shard) restore(recent map[string]*Claim) {
+	for key, claim := range recent {
 		present := s.Claims[key]
 		if present == nil || (present.Request == claim.Request && present.Outcome == "") {
 			s.Claims[key] = claim
@@ -51,22 +51,22 @@
 }
 
 // settle notes that an instance has told and, once all others have, lets keys be claimed again.
-func (s *Shard) settle(self string, others []string) {
-	if s.Told == nil {
-		s.Told = map[string]bool{}
+func (s *Shard) markReported(self string, others []string) {
+	if s.ReportedBy == nil {
+		s.ReportedBy = map[string]bool{}
 	}
-	s.Told[self] = true
+	s.ReportedBy[self] = true
 	for _, other := range others {
-		if !s.Told[other] {
+		if !s.ReportedBy[other] {
 			return
 		}
 	}
-	s.Unsettled, s.Told = false, nil
+	s.Unsettled, s.ReportedBy = false, nil
 }
 
 // recent returns the claims that were written lately.
-func (s *Shard) recent(now time.Time) map[string]*Claim {
-	since := now.Add(-rememberedFor).UnixMilli()
+func (s *Shard) recentClaims(now time.Time) map[string]*Claim {
+	since := now.Add(-recentClaimLifetime).UnixMilli()
 	claims := map[string]*Claim{}
 	for key, claim := range s.Claims {
 		if claim.AtMillis >= since {
@@ -78,9 +78,9 @@
 
 // NoteEra says that the store came back from a copy: every shard is told what this instance has seen.
 func (c *Claimer) NoteEra() {
-	for _, queue := range c.shards {
+	for _, queue := range c.queues {
 		go func() {
-			time.Sleep(rand.N(tellSpread))
+			time.Sleep(rand.N(maxReportDelay))
 			queue.TryPut(operation{apply: func(*Shard) {}, done: make(chan error, 1)}) // a full queue tells with what it holds
 		}()
 	}
--- a/pkg/claim/shard.go
+++ b/pkg/claim/shard.go
@@ -38,7 +38,7 @@
 	// Fingerprint tells the request's content from another under the same key.
 	Fingerprint string `json:"fingerprint"`
 	// Outcome is empty while the request runs.
-	Outcome outcome.Word `json:"outcome,omitempty"`
+	Outcome outcome.Outcome `json:"outcome,omitempty"`
 	// Answer is what the request got, for retries.
 	Answer *Answer `json:"answer,omitempty"`
 	// AtMillis is when the claim was last written, since 1970.
@@ -59,19 +59,19 @@
 	Claims map[string]*Claim `json:"claims"`
 	// Era is the store's era that the object was made in, Unsettled says that claims of the
 	// seconds before may be missing still, Told which incarnations have told theirs.
-	Era       uint64          `json:"era,omitempty"`
-	Unsettled bool            `json:"unsettled,omitempty"`
-	Told      map[string]bool `json:"told,omitempty"`
+	Era        uint64          `json:"era,omitempty"`
+	Unsettled  bool            `json:"unsettled,omitempty"`
+	ReportedBy map[string]bool `json:"told,omitempty"`
 }
 
 // FullError refuses a claim: the shard has no room for another.
 type FullError struct {
 	// Step is "claim"; Peer is the shard's key.
-	Step, Peer string
+	Step, Key string
 }
 
 // Error implements error.
-func (e *FullError) Error() string { return fmt.Sprintf("%s: %s is full", e.Step, e.Peer) }
+func (e *FullError) Error() string { return fmt.Sprintf("%s: %s is full", e.Step, e.Key) }
 
 func decodeShard(value []byte) (*Shard, error) {
 	shard := &Shard{}
@@ -93,7 +93,7 @@
 // take claims a key for a request, or returns the claim that stands. Finding
 // its own request there, the taker knows that an earlier write of its own took
 // effect although the answer was lost.
-func (s *Shard) take(key string, claim Claim) (standing *Claim, taken bool) {
+func (s *Shard) acquire(key string, claim Claim) (existing *Claim, acquired bool) {
 	if present := s.Claims[key]; present != nil {
 		return present, present.Request == claim.Request
 	}
@@ -102,12 +102,12 @@
 }
 
 // finish records an outcome, if the claim is the request's own.
-func (s *Shard) finish(key, request string, word outcome.Word, answer *Answer, at time.Time) {
+func (s *Shard) finish(key, request string, result outcome.Outcome, answer *Answer, at time.Time) {
 	c := s.Claims[key]
 	if c == nil || c.Request != request {
 		return
 	}
-	c.Outcome = word
+	c.Outcome = result
 	c.Answer = answer
 	c.AtMillis = at.UnixMilli()
 }
@@ -136,12 +136,12 @@
 	if err != nil || len(value) <= maxShardBytes {
 		return value, true, err
 	}
-	s.omitOldest(len(value) - maxShardBytes)
+	s.omitOldestAnswers(len(value) - maxShardBytes)
 	value, err = json.Marshal(s)
 	return value, len(value) <= maxShardBytes, err
 }
 
-func (s *Shard) omitOldest(bytes int) {
+func (s *Shard) omitOldestAnswers(bytes int) {
 	var answered []*Claim
 	for _, c := range s.Claims {
 		if c.Answer != nil && len(c.Answer.Body) > 0 {
--- a/pkg/entry/chat.go
+++ b/pkg/entry/chat.go
@@ -20,210 +20,221 @@
 
 // Constants of a model request.
 const (
-	// chatPath is where model requests come in; documents name it in once.
+	// chatPath is the path of model requests; a service document lists it under
+	// "once" if they are not idempotent.
 	chatPath = "/v1/chat/completions"
-	// prefixBytes is how much of a prompt decides whose prefix cache it suits.
-	prefixBytes = 512
-	// maxResumes bounds how often one stream is taken up again.
+	// maxPrefixBytes is the length of the part of a prompt that is hashed to
+	// find the engine whose prefix cache is likely to hold it.
+	maxPrefixBytes = 512
+	// maxResumes bounds how often one stream is resumed.
 	maxResumes = 3
-	// resumePause is the pause before a stream is taken up again.
-	resumePause = 50 * time.Millisecond
-	// cancelTimeout bounds the question what a given-up request cost.
+	// resumeDelay is the wait before a stream is resumed.
+	resumeDelay = 50 * time.Millisecond
+	// cancelTimeout bounds the call that cancels an abandoned request and
+	// returns its cost.
 	cancelTimeout = 2 * time.Second
 )
 
-// chatCall is one model request on its way.
+// chatCall is a model request in progress.
 type chatCall struct {
-	e          *Entry
-	r          *request
-	pool       *document.Pool
-	dispatch   *dispatch.Pool
-	req        chat.Request
-	body       []byte
-	bound      int64
-	prefix     uint64
-	repeatable bool
-	cost       cost
-	tried      []string
-	out        answerWriter
-	offset     int64
+	e              *Entry
+	r              *request
+	pool           *document.Pool
+	dispatch       *dispatch.Pool
+	req            chat.Request
+	body           []byte
+	maxCost        int64
+	prefixHash     uint64
+	idempotent     bool
+	billing        billing
+	triedUpstreams []string
+	out            answerWriter
+	offset         int64
 }
 
 func (e *Entry) serveChat(ctx context.Context, r *request) *Problem {
-	call := &chatCall{e: e, r: r, cost: cost{entry: e, r: r}}
+	call := &chatCall{e: e, r: r, billing: billing{entry: e, r: r}}
 	if p := call.parse(r.c.Request.Body()); p != nil {
 		return p
 	}
-	if call.repeatable || r.key == "" {
+	if call.idempotent || r.idempotencyKey == "" {
 		return call.run(ctx)
 	}
 	content := fingerprint.Content(consts.MethodPost, chatPath, r.c.Request.Body())
-	return e.once(ctx, r, content.String(), call.runOnce)
+	return e.runAtMostOnce(ctx, r, content.String(), call.runClaimed)
 }
 
-// parse checks the request and writes the body that the engine gets: streamed,
-// so that a break can be resumed, and with an output bound, so that its cost
-// stays within what is reserved.
-func (a *chatCall) parse(body []byte) *Problem {
-	if err := json.Unmarshal(body, &a.req); err != nil {
-		return notRun(consts.StatusBadRequest, kindBadRequest, "the body is not a chat completion request: "+err.Error(), 0)
-	}
-	if len(a.req.Messages) == 0 || a.req.MaxTokens < 0 {
-		return notRun(consts.StatusBadRequest, kindBadRequest, "messages must not be empty, max_tokens not negative", 0)
-	}
-	a.pool = a.r.doc.PoolForModel(a.req.Model)
-	if a.pool == nil {
-		return notRun(consts.StatusNotFound, kindNotFound, "the service has no such model", 0)
-	}
-	a.dispatch = a.e.pool(a.r.ref.Service.Service, a.pool.Name)
-	a.repeatable = !isOnce(a.pool, consts.MethodPost, chatPath)
-	a.out = newAnswerWriter(a.r, &a.req)
-	engine := a.req
+// parse checks the request and encodes the body that is sent to the engine. It
+// asks for a stream, so that a broken answer can be resumed, and for a maximum
+// output, so that the cost stays within what is reserved.
+func (c *chatCall) parse(body []byte) *Problem {
+	if err := json.Unmarshal(body, &c.req); err != nil {
+		return notRunProblem(consts.StatusBadRequest, kindBadRequest, "the body is not a chat completion request: "+err.Error(), 0)
+	}
+	if len(c.req.Messages) == 0 || c.req.MaxTokens < 0 {
+		return notRunProblem(consts.StatusBadRequest, kindBadRequest, "messages must not be empty, max_tokens not negative", 0)
+	}
+	c.pool = c.r.doc.PoolForModel(c.req.Model)
+	if c.pool == nil {
+		return notRunProblem(consts.StatusNotFound, kindNotFound, "the service has no such model", 0)
+	}
+	c.dispatch = c.e.pool(c.r.accountRef.Service.Service, c.pool.Name)
+	c.idempotent = !isAtMostOnce(c.pool, consts.MethodPost, chatPath)
+	c.out = newAnswerWriter(c.r, &c.req)
+	engine := c.req
 	engine.Stream = true
-	if engine.MaxTokens == 0 || engine.MaxTokens > a.pool.MaxOutputTokens {
-		engine.MaxTokens = a.pool.MaxOutputTokens
+	if engine.MaxTokens == 0 || engine.MaxTokens > c.pool.MaxOutputTokens {
+		engine.MaxTokens = c.pool.MaxOutputTokens
 	}
 	encoded, err := json.Marshal(engine)
 	if err != nil {
-		return notRun(consts.StatusBadRequest, kindBadRequest, err.Error(), 0)
+		return notRunProblem(consts.StatusBadRequest, kindBadRequest, err.Error(), 0)
 	}
-	a.body = encoded
-	a.bound = a.r.doc.Limits.PromptBound(len(encoded)) + engine.MaxTokens
-	a.prefix = xxhash.Sum64(prefixOf(a.req.Messages))
+	c.body = encoded
+	c.maxCost = c.r.doc.Limits.PromptBound(len(encoded)) + engine.MaxTokens
+	c.prefixHash = xxhash.Sum64(promptPrefix(c.req.Messages))
 	return nil
 }
 
-func prefixOf(messages []chat.Message) []byte {
+// promptPrefix returns the first maxPrefixBytes of the messages' contents.
+func promptPrefix(messages []chat.Message) []byte {
 	var prefix []byte
 	for _, m := range messages {
 		prefix = append(prefix, m.Content...)
-		if len(prefix) >= prefixBytes {
-			return prefix[:prefixBytes]
+		if len(prefix) >= maxPrefixBytes {
+			return prefix[:maxPrefixBytes]
 		}
 	}
 	return prefix
 }
 
-func (a *chatCall) runOnce(ctx context.Context) (*claim.Answer, *Problem) {
-	if p := a.run(ctx); p != nil {
+// runClaimed runs a request whose idempotency key is claimed, and returns the
+// answer to record.
+func (c *chatCall) runClaimed(ctx context.Context) (*claim.Answer, *Problem) {
+	if p := c.run(ctx); p != nil {
 		return nil, p
 	}
-	body, err := json.Marshal(a.out.whole())
+	body, err := json.Marshal(c.out.response())
 	if err != nil {
 		return nil, nil
 	}
 	return &claim.Answer{Status: consts.StatusOK, ContentType: "application/json", Body: body}, nil
 }
 
-// run reserves, and makes attempts until the answer is delivered whole or nothing
-// more may be tried.
-func (a *chatCall) run(ctx context.Context) *Problem {
-	if p := a.e.refuseCondemned(a.r); p != nil {
+// run reserves tokens and makes attempts until the whole answer is delivered or
+// no retry is allowed.
+func (c *chatCall) run(ctx context.Context) *Problem {
+	if p := c.e.checkQuarantine(c.r); p != nil {
 		return p
 	}
-	if p := a.cost.hold(ctx, a.bound); p != nil {
+	if p := c.billing.reserve(ctx, c.maxCost); p != nil {
 		return p
 	}
-	a.cost.open(ctx)
-	a.e.retries.deposit()
+	c.billing.open(ctx)
+	c.e.retries.deposit()
 	for {
-		again, p := a.attempt(ctx)
+		retry, p := c.attempt(ctx)
 		if p == nil {
-			a.cost.close(true)
-			a.out.finish()
+			c.billing.close(true)
+			c.out.finish()
 			return nil
 		}
-		if !again || !a.e.retries.withdraw() {
-			a.cost.close(false)
-			a.out.fail(p)
+		if !retry || !c.e.retries.withdraw() {
+			c.billing.close(false)
+			c.out.fail(p)
 			return p
 		}
-		a.e.meters.retried.Inc(1)
-		a.offset = 0
-		a.out.reset()
-		if p := a.cost.hold(ctx, a.bound); p != nil {
-			p.Outcome = a.r.facts.Word()
-			a.cost.close(false)
+		c.e.metrics.retried.Inc(1)
+		c.offset = 0
+		c.out.reset()
+		if p := c.billing.reserve(ctx, c.maxCost); p != nil {
+			p.Outcome = c.r.tracker.Outcome()
+			c.billing.close(false)
 			return p
 		}
 	}
 }
 
-// attempt runs the request on one engine.
-func (a *chatCall) attempt(ctx context.Context) (again bool, p *Problem) {
-	begun, p := a.e.beginRun(a.r)
+// attempt runs the request on one engine. retry reports whether another engine
+// may be tried.
+func (c *chatCall) attempt(ctx context.Context) (retry bool, p *Problem) {
+	quarantineRun, p := c.e.beginRun(c.r)
 	if p != nil {
-		a.cost.spend(0)
+		c.billing.settle(0)
 		return false, p
 	}
-	lease, err := a.dispatch.Acquire(ctx, dispatch.Want{
-		Pool:    a.pool.Name,
-		Prefix:  a.prefix,
-		Urgent:  a.pool.Urgent,
-		Tried:   a.tried,
-		StartBy: a.r.deadline,
+	lease, err := c.dispatch.Acquire(ctx, dispatch.Want{
+		Pool:    c.pool.Name,
+		Prefix:  c.prefixHash,
+		Urgent:  c.pool.Urgent,
+		Tried:   c.triedUpstreams,
+		StartBy: c.r.deadline,
 	})
 	if err != nil {
-		begun.Ended()
-		a.cost.spend(0)
-		return false, acquireProblem(a.r, err)
-	}
-	a.tried = append(a.tried, lease.Upstream.Name)
-	a.e.Log.Event(eventlog.RequestDispatched, a.r.id, eventlog.Fields{"upstream": lease.Upstream.Name})
-	delivery := &delivery{a: a, lease: lease}
-	run, err := a.e.runAt(ctx, begun, lease)
+		quarantineRun.Ended()
+		c.billing.settle(0)
+		return false, acquireProblem(c.r, err)
+	}
+	c.triedUpstreams = append(c.triedUpstreams, lease.Upstream.Name)
+	c.e.Log.Event(eventlog.RequestDispatched, c.r.id, eventlog.Fields{"upstream": lease.Upstream.Name})
+	delivery := &delivery{call: c, lease: lease}
+	run, err := c.e.startRunAt(ctx, quarantineRun, lease)
 	if err == nil {
-		err = delivery.run(ctx)
+		err = delivery.deliver(ctx)
 	}
-	a.e.concludeRun(ctx, a.r, run, delivery.handed, err)
+	c.e.concludeRun(ctx, c.r, run, delivery.sent, err)
 	if err == nil {
-		a.e.done(lease, dispatch.Result{Load: -1})
-		a.cost.spend(delivery.cost(a.bound))
-		a.r.facts.MarkAnswered()
+		c.e.releaseLease(lease, dispatch.Result{Load: -1})
+		c.billing.settle(delivery.tokensUsed(c.maxCost))
+		c.r.tracker.MarkAnswered()
 		return false, nil
 	}
-	gone := errors.Is(err, errCallerGone)
-	a.e.done(lease, dispatch.Result{Failed: !gone, Load: -1})
-	a.cost.spend(a.costOfFailed(lease.Upstream.Address, err))
-	return a.mayTryAgain(err), a.failure(err)
+	clientGone := errors.Is(err, errClientGone)
+	c.e.releaseLease(lease, dispatch.Result{Failed: !clientGone, Load: -1})
+	c.billing.settle(c.cancelAttempt(lease.Upstream.Address, err))
+	return c.canRetry(err), c.attemptProblem(err)
 }
 
-func (a *chatCall) failure(err error) *Problem {
-	if errors.Is(err, errCallerGone) {
-		a.e.Log.Event(eventlog.CallerGone, a.r.id, nil)
+// attemptProblem describes a failed attempt to the client.
+func (c *chatCall) attemptProblem(err error) *Problem {
+	if errors.Is(err, errClientGone) {
+		c.e.Log.Event(eventlog.CallerGone, c.r.id, nil)
 	}
-	return a.e.upstreamProblem(a.r, err)
+	return c.e.upstreamProblem(c.r, err)
 }
 
-// mayTryAgain says whether another engine may be asked. Another engine's answer
-// is another text, so nothing may have been delivered of the first.
-func (a *chatCall) mayTryAgain(err error) bool {
-	if a.out.started() || errors.Is(err, errCallerGone) || !a.e.Now().Before(a.r.deadline) {
+// canRetry reports whether another engine may be tried after err. Another engine
+// generates a different text, so nothing of the first may have been delivered.
+func (c *chatCall) canRetry(err error) bool {
+	if c.out.started() || errors.Is(err, errClientGone) || !c.e.Now().Before(c.r.deadline) {
 		return false
 	}
-	return a.repeatable || (neverLeft(err) && !a.r.facts.Handed())
+	return c.idempotent || (failedBeforeSending(err) && !c.r.tracker.MaybeSent())
 }
 
-func neverLeft(err error) bool {
+// failedBeforeSending reports whether an attempt failed before any byte of the
+// request was sent.
+func failedBeforeSending(err error) bool {
 	var call *upstream.CallError
 	return errors.As(err, &call) && call.Step == "dial"
 }
 
-// costOfFailed stops a request that was given up and asks what it cost. An
-// engine that cannot say may have spent all that was reserved, and a budget
-// must never be spent beyond; so the bound is billed, and the bill says so.
-func (a *chatCall) costOfFailed(address string, cause error) int64 {
-	if neverLeft(cause) {
+// cancelAttempt cancels a failed attempt on its engine and returns its cost in
+// tokens. If the engine cannot report the cost, the attempt may have used all
+// that was reserved, and a budget must never be overspent: maxCost is billed,
+// and the bill's outcome is unknown.
+func (c *chatCall) cancelAttempt(address string, cause error) int64 {
+	if failedBeforeSending(cause) {
 		return 0
 	}
-	ctx, cancel := context.WithTimeout(a.e.background, cancelTimeout)
+	ctx, cancel := context.WithTimeout(c.e.background, cancelTimeout)
 	defer cancel()
-	usage, err := upstream.Cancel(ctx, address, a.r.id)
-	if errors.Is(err, upstream.ErrGone) {
+	usage, err := upstream.Cancel(ctx, address, c.r.id)
+	if errors.Is(err, upstream.ErrUnknownRequest) {
 		return 0
 	}
 	if err != nil {
-		return a.bound
+		return c.maxCost
 	}
 	return usage.Total()
 }
--- a/pkg/entry/crash.go
+++ b/pkg/entry/crash.go
@@ -16,32 +16,34 @@
 	"github.com/lavenderring/lavenderring/pkg/upstream"
 )
 
-// trialRetryAfter is when to come back for a request that waits for the end of an equal one.
+// trialRetryAfter applies to a suspected request that is refused while an equal one is running.
 const trialRetryAfter = time.Second
 
-// errNotInService means that an upstream left, or its failure domain was emptied, before the sending.
+// errNotInService means that the upstream began to leave, or its failure domain was emptied, before
+// the request was sent.
 var errNotInService = errors.New("the upstream is not in service any more")
 
 // Fingerprint implements quarantine.Request.
 func (r *request) Fingerprint() fingerprint.Fingerprint {
-	if r.print == nil {
+	if r.fingerprint == nil {
 		content := fingerprint.Content(string(r.c.Method()), string(r.c.URI().RequestURI()), r.c.Request.Body())
-		print := fingerprint.Of(r.budget, "", content)
-		r.print = &print
+		computed := fingerprint.Of(r.budget, "", content)
+		r.fingerprint = &computed
 	}
-	return *r.print
+	return *r.fingerprint
 }
 
-// refuseCondemned refuses a request that crashed the upstreams that ran it, before anything is
+// checkQuarantine refuses a request that is condemned for crashing upstreams, before tokens are
 // reserved for it.
-func (e *Entry) refuseCondemned(r *request) *Problem {
+func (e *Entry) checkQuarantine(r *request) *Problem {
 	if err := e.Quarantine.Refuse(r); err != nil {
 		return quarantineProblem(r, err)
 	}
 	return nil
 }
 
-// beginRun asks whether the request may run now; it may have become suspected since it came.
+// beginRun asks the quarantine whether the request may run now: it may have become suspected since
+// it was admitted.
 func (e *Entry) beginRun(r *request) (quarantine.Run, *Problem) {
 	run, err := e.Quarantine.Begin(r, e.Now())
 	if err != nil {
@@ -50,56 +52,57 @@
 	return run, nil
 }
 
-// quarantineProblem tells a caller why its request does not run. Where an earlier attempt may have
-// run it, that stands.
+// quarantineProblem tells the client why its request is not run. If an earlier attempt may have run
+// it, the outcome stays unknown.
 func quarantineProblem(r *request, err error) *Problem {
 	detail := err.Error() + "; operators find it by this id"
-	word := r.facts.Word()
+	result := r.tracker.Outcome()
 	switch {
-	case word != outcome.NotRun:
-		return problem(consts.StatusBadGateway, kindUpstream, detail, word, 0)
+	case result != outcome.NotRun:
+		return newProblem(consts.StatusBadGateway, kindUpstreamFailed, detail, result, 0)
 	case errors.Is(err, quarantine.ErrTrialRuns):
-		return notRun(consts.StatusServiceUnavailable, kindSuspected, detail, trialRetryAfter)
+		return notRunProblem(consts.StatusServiceUnavailable, kindSuspected, detail, trialRetryAfter)
 	default:
-		return notRun(consts.StatusUnprocessableEntity, kindQuarantined, detail, 0)
+		return notRunProblem(consts.StatusUnprocessableEntity, kindQuarantined, detail, 0)
 	}
 }
 
-// run is one run of a request at an upstream.
-type run struct {
+// upstreamRun is one run of a request at an upstream.
+type upstreamRun struct {
 	quarantine.Run
-	upstream quarantine.Upstream
-	began    time.Time
+	upstream  quarantine.Upstream
+	startedAt time.Time
 }
 
-// runAt notes to which upstream the run goes, as the process that was last known there. A request that may
-// crash it goes only to one that says now which process it is, or never does; none goes to one that is
-// out of service by now. Errors: *upstream.CallError, of a step before anything is sent.
-func (e *Entry) runAt(ctx context.Context, r quarantine.Run, lease *dispatch.Lease) (run, error) {
+// startRunAt records to which upstream, in its last known incarnation, the run is sent. A request
+// that crashed an upstream, or may have, is sent only if the upstream answers a query for its
+// incarnation now, also if the answer names none. No request is sent to an upstream that is not in service any more. Errors:
+// *upstream.CallError with the step "dial", as nothing has been sent.
+func (e *Entry) startRunAt(ctx context.Context, r quarantine.Run, lease *dispatch.Lease) (upstreamRun, error) {
 	address := lease.Upstream.Address
 	if r.IsWatched() {
-		if err := e.askIncarnation(ctx, address); err != nil {
-			return run{Run: r}, &upstream.CallError{Step: "dial", Peer: address, Err: err}
+		if err := e.queryIncarnation(ctx, address); err != nil {
+			return upstreamRun{Run: r}, &upstream.CallError{Step: "dial", Peer: address, Err: err}
 		}
 	}
 	if !lease.InService() {
-		return run{Run: r}, &upstream.CallError{Step: "dial", Peer: address, Err: errNotInService}
+		return upstreamRun{Run: r}, &upstream.CallError{Step: "dial", Peer: address, Err: errNotInService}
 	}
-	return run{Run: r, began: e.Now(), upstream: quarantine.Upstream{
+	return upstreamRun{Run: r, startedAt: e.Now(), upstream: quarantine.Upstream{
 		ID: lease.Upstream.Name, Address: address, Incarnation: e.incarnationAt(address),
 	}}, nil
 }
 
-// concludeRun notes what an attempt at an upstream showed of the request; handed says that the
-// upstream got it.
-func (e *Entry) concludeRun(ctx context.Context, r *request, run run, handed bool, err error) {
+// concludeRun reports to the quarantine how an attempt at an upstream ended; sent is false if the
+// attempt failed before the request was sent.
+func (e *Entry) concludeRun(ctx context.Context, r *request, run upstreamRun, handed bool, err error) {
 	evidence := quarantine.NoEvidence
-	switch gone := errors.Is(err, errCallerGone) || ctx.Err() != nil; {
+	switch clientGone := errors.Is(err, errClientGone) || ctx.Err() != nil; {
 	case err == nil:
 		evidence = quarantine.WholeAnswer
-	case handed && !gone && connectionEnded(err):
+	case handed && !clientGone && connectionEnded(err):
 		evidence = quarantine.ConnectionEnded
-	case handed && !gone:
+	case handed && !clientGone:
 		evidence = quarantine.NoAnswer
 	}
 	conclusion := run.Conclude(ctx, quarantine.Attempt{
@@ -111,22 +114,23 @@
 		e.Log.Event(eventlog.RequestCleared, r.id, eventlog.Fields{"fingerprint": r.Fingerprint().String()})
 	}
 	if conclusion.Crash != nil {
-		e.noteCrash(r, run.upstream.ID, conclusion.Crash)
+		e.recordCrash(r, run.upstream.ID, conclusion.Crash)
 	}
 }
 
-// connectionEnded reports that the upstream's side of the connection ended, or that its process does
-// not know a request that it had taken.
+// connectionEnded reports whether the upstream closed the connection, or its process does not know a
+// request that the upstream had accepted.
 func connectionEnded(err error) bool {
 	var call *upstream.CallError
-	if !errors.As(err, &call) || errors.Is(err, upstream.ErrMismatch) || errors.Is(err, upstream.ErrSilent) {
+	if !errors.As(err, &call) || errors.Is(err, upstream.ErrRequestIDMismatch) || errors.Is(err, upstream.ErrIdleTimeout) {
 		return false
 	}
-	return errors.Is(err, upstream.ErrCut) || errors.Is(err, upstream.ErrGone) || call.Status == 0
+	return errors.Is(err, upstream.ErrTruncated) || errors.Is(err, upstream.ErrUnknownRequest) || call.Status == 0
 }
 
-func (e *Entry) noteCrash(r *request, upstream string, record *quarantine.Record) {
-	e.meters.crashes.Inc(1)
+// recordCrash counts and logs a crash of an upstream that ran the request.
+func (e *Entry) recordCrash(r *request, upstream string, record *quarantine.Record) {
+	e.metrics.crashes.Inc(1)
 	e.Log.Event(eventlog.RequestSuspected, r.id, eventlog.Fields{
 		"fingerprint": record.Fingerprint.String(), "crashes": record.InARow(), "upstream": upstream,
 		"condemned": e.Quarantine.StateOf(record.Fingerprint) == quarantine.Condemned,
--- a/pkg/entry/delivery.go
+++ b/pkg/entry/delivery.go
@@ -11,59 +11,60 @@
 	"github.com/lavenderring/lavenderring/pkg/upstream"
 )
 
-// errCallerGone means that the answer could not be written to the caller.
-var errCallerGone = errors.New("the caller is gone")
+// errClientGone means that the answer could not be written to the client.
+var errClientGone = errors.New("the caller is gone")
 
-// delivery brings one engine's answer to the caller, taking it up again at its
-// offset when the connection breaks.
+// delivery passes one engine's answer on to the client. It resumes the stream at
+// its offset when the connection breaks.
 type delivery struct {
-	a       *chatCall
-	lease   *dispatch.Lease
-	usage   *chat.Usage
-	resumes int
-	// handed says that the engine got the request.
-	handed bool
+	call       *chatCall
+	lease      *dispatch.Lease
+	usage      *chat.Usage
+	numResumes int
+	// sent is false while every attempt failed before the request was sent.
+	sent bool
 }
 
-func (d *delivery) run(ctx context.Context) error {
+func (d *delivery) deliver(ctx context.Context) error {
 	for {
-		err := d.read(ctx)
-		d.handed = d.handed || !neverLeft(err)
-		if err == nil || !d.resumable(ctx, err) {
+		err := d.readStream(ctx)
+		d.sent = d.sent || !failedBeforeSending(err)
+		if err == nil || !d.shouldResume(ctx, err) {
 			return err
 		}
-		d.resumes++
-		d.a.e.meters.resumed.Inc(1)
-		d.a.e.Log.Event(eventlog.RequestResumed, d.a.r.id, eventlog.Fields{"offset": d.a.offset, "cause": err.Error()})
-		if !pause.For(ctx, resumePause) {
+		d.numResumes++
+		d.call.e.metrics.resumed.Inc(1)
+		d.call.e.Log.Event(eventlog.RequestResumed, d.call.r.id, eventlog.Fields{"offset": d.call.offset, "cause": err.Error()})
+		if !pause.For(ctx, resumeDelay) {
 			return err
 		}
 	}
 }
 
-// resumable says whether to ask the same engine for the rest: the connection
-// broke or fell silent after it had taken the request.
-func (d *delivery) resumable(ctx context.Context, err error) bool {
-	broken := errors.Is(err, upstream.ErrCut) || errors.Is(err, upstream.ErrSilent)
-	return broken && d.resumes < maxResumes && ctx.Err() == nil
+// shouldResume reports whether to ask the same engine for the rest: the stream
+// broke or reached its idle timeout after the engine had accepted the request.
+func (d *delivery) shouldResume(ctx context.Context, err error) bool {
+	broken := errors.Is(err, upstream.ErrTruncated) || errors.Is(err, upstream.ErrIdleTimeout)
+	return broken && d.numResumes < maxResumes && ctx.Err() == nil
 }
 
-func (d *delivery) read(ctx context.Context) error {
-	began := d.a.e.Now()
+// readStream opens or resumes the stream and handles its events until it ends.
+func (d *delivery) readStream(ctx context.Context) error {
+	sentAt := d.call.e.Now()
 	stream, err := upstream.Open(ctx, d.lease.Upstream.Address, upstream.StreamRequest{
-		ID:     d.a.r.id,
-		Body:   d.a.body,
-		Resume: d.resumes > 0,
-		Offset: d.a.offset,
-		Urgent: d.a.pool.Urgent,
-		Idle:   d.a.r.doc.Limits.StreamIdle(),
-	}, &d.a.r.facts)
+		ID:          d.call.r.id,
+		Body:        d.call.body,
+		Resume:      d.numResumes > 0,
+		Offset:      d.call.offset,
+		Urgent:      d.call.pool.Urgent,
+		IdleTimeout: d.call.r.doc.Limits.StreamIdle(),
+	}, &d.call.r.tracker)
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
 	d.lease.Report(stream.Load)
-	d.a.e.noteIncarnation(d.lease.Upstream.Address, stream.Incarnation, began)
+	d.call.e.recordIncarnation(d.lease.Upstream.Address, stream.Incarnation, sentAt)
 	for {
 		event, err := stream.Next()
 		if err != nil {
@@ -72,35 +73,36 @@
 		if event.End {
 			return nil
 		}
-		if err := d.take(event); err != nil {
+		if err := d.handleEvent(event); err != nil {
 			return err
 		}
 	}
 }
 
-// take hands one event on. A token that has been delivered already comes again
-// if an engine resumes too early; it is dropped by its offset.
-func (d *delivery) take(event upstream.Event) error {
+// handleEvent passes one event on to the client. An engine that resumes too early
+// repeats tokens that have been delivered; these are recognized by their offset
+// and dropped.
+func (d *delivery) handleEvent(event upstream.Event) error {
 	if event.Response.Usage != nil {
 		d.usage = event.Response.Usage
 	}
-	if event.Offset > 0 && event.Offset <= d.a.offset {
+	if event.Offset > 0 && event.Offset <= d.call.offset {
 		return nil
 	}
 	if event.Offset > 0 {
-		if d.a.offset == 0 {
-			d.a.e.meters.firstToken.UpdateSince(d.a.r.started)
+		if d.call.offset == 0 {
+			d.call.e.metrics.timeToFirstToken.UpdateSince(d.call.r.started)
 		}
-		d.a.offset = event.Offset
+		d.call.offset = event.Offset
 	}
-	return d.a.out.event(event.Offset, &event.Response)
+	return d.call.out.event(event.Offset, &event.Response)
 }
 
-// cost returns what the engine says the request cost; the bound if it is silent
-// about it.
-func (d *delivery) cost(bound int64) int64 {
+// tokensUsed returns the usage that the engine reported, or maxCost if it
+// reported none.
+func (d *delivery) tokensUsed(maxCost int64) int64 {
 	if d.usage == nil {
-		return bound
+		return maxCost
 	}
 	return d.usage.Total()
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -1,5 +1,7 @@
-// Package entry serves callers: it finds the account, reserves the cost, claims
-// what may not be repeated, dispatches, delivers the whole answer and bills it.
+// Package entry serves the clients' HTTP requests: it finds the client account,
+// reserves tokens for the cost, claims the idempotency key of a non-idempotent
+// request, dispatches the request to an upstream, delivers the whole answer and
+// bills it.
 package entry
 
 import (
@@ -30,44 +32,50 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine"
 )
 
-// Bounds of the front.
+// Limits on requests, and the Retry-After times of refusals.
 const (
-	// maxIdempotencyKeyBytes bounds a caller's key.
+	// maxIdempotencyKeyBytes bounds the Idempotency-Key header.
 	maxIdempotencyKeyBytes = 255
-	// drainRetryAfter is when a caller refused by a stopping instance may come
-	// back: the balancer sends it elsewhere.
+	// drainRetryAfter applies to requests that a stopping instance refuses: the
+	// load balancer sends the retry to another instance. Requests whose upstream
+	// failed and retries whose first request did not run get the same value.
 	drainRetryAfter = time.Second
-	// storeRetryAfter is when to come back while the store is down.
+	// storeRetryAfter applies while the store is unavailable.
 	storeRetryAfter = 5 * time.Second
-	// budgetRetryAfter is when to come back for a budget that is used up: after
-	// a top-up has had time to come into force.
+	// budgetRetryAfter applies to a budget that is used up: it gives a top-up
+	// time to come into force.
 	budgetRetryAfter = 30 * time.Second
 )
 
-// Budgets reserves and settles tokens.
+// Budgets reserves tokens and settles reservations. Settle returns the tokens
+// that were charged.
 type Budgets interface {
 	Reserve(ctx context.Context, budget string, tokens int64, into *budget.Reservation) error
 	Settle(r *budget.Reservation, used int64) int64
 }
 
-// Silent tells whether an incarnation has not been heard of for the bound.
-type Silent func(incarnation string) bool
+// SilentFunc reports whether nothing has been received from an instance's
+// incarnation for the silence timeout.
+type SilentFunc func(incarnation string) bool
 
-// Lookout tells what became of the upstream at an address whose connection ended.
+// Lookout determines the state of the upstream at an address after a connection
+// to it ended.
 type Lookout interface {
 	Look(address string) httpconn.PeerState
 }
 
-// Deps is what the front works with.
+// Deps holds the collaborators of an Entry.
 type Deps struct {
-	Self    string
+	// Self is this instance's incarnation.
+	Self string
+	// Domain is this instance's failure domain.
 	Domain  string
 	Config  *configsync.State
 	Budgets Budgets
 	Journal *bill.Journal
 	Claims  *claim.Claimer
-	Silent  Silent
-	// Lookout tells crashed upstreams from connections that ended.
+	Silent  SilentFunc
+	// Lookout tells crashed upstreams from ones that only closed a connection.
 	Lookout Lookout
 	// Quarantine finds requests that crash upstreams.
 	Quarantine *quarantine.Table
@@ -76,60 +84,62 @@
 	Now        func() time.Time
 }
 
-// Entry serves callers of one instance.
+// Entry serves the client requests of one instance.
 type Entry struct {
 	Deps
-	meters   meters
-	draining atomic.Bool
-	running  sync.WaitGroup
-	gate     sync.RWMutex
-	active   atomic.Int64
-	retries  retryBudget
-	// background outlives requests: outcomes and cancels are brought home in it.
+	metrics   requestMetrics
+	draining  atomic.Bool
+	running   sync.WaitGroup
+	drainMu   sync.RWMutex
+	numActive atomic.Int64
+	retries   retryBudget
+	// background outlives requests: outcomes are recorded and upstream requests
+	// canceled in it.
 	background context.Context
 
-	mu      sync.Mutex
-	pools   map[string]*dispatch.Pool
-	emptied []string
+	mu             sync.Mutex
+	pools          map[string]*dispatch.Pool
+	emptiedDomains []string
 
 	incarnations incarnations
 }
 
-// meters counts what callers see.
-type meters struct {
+// requestMetrics counts and times client requests by result.
+type requestMetrics struct {
 	accepted, refused, ran, unknown, retried, resumed metrics.Counter
 	crashes                                           metrics.Counter
-	firstToken, whole                                 metrics.Timer
+	timeToFirstToken, totalTime                       metrics.Timer
 }
 
-// New returns a front; background must last until the instance has stopped.
+// New returns an Entry; background must not be canceled before the instance has
+// stopped.
 func New(background context.Context, deps Deps) *Entry {
 	r := deps.Metrics
 	return &Entry{
 		Deps:       deps,
 		background: background,
 		pools:      map[string]*dispatch.Pool{},
-		meters: meters{
-			accepted:   metrics.GetOrRegisterCounter("requests.accepted", r),
-			refused:    metrics.GetOrRegisterCounter("requests.refused", r),
-			ran:        metrics.GetOrRegisterCounter("requests.ran", r),
-			unknown:    metrics.GetOrRegisterCounter("requests.unknown", r),
-			retried:    metrics.GetOrRegisterCounter("requests.retried", r),
-			resumed:    metrics.GetOrRegisterCounter("requests.resumed", r),
-			crashes:    metrics.GetOrRegisterCounter("quarantine.crashes", r),
-			firstToken: metrics.GetOrRegisterTimer("requests.first_token", r),
-			whole:      metrics.GetOrRegisterTimer("requests.whole", r),
+		metrics: requestMetrics{
+			accepted:         metrics.GetOrRegisterCounter("requests.accepted", r),
+			refused:          metrics.GetOrRegisterCounter("requests.refused", r),
+			ran:              metrics.GetOrRegisterCounter("requests.ran", r),
+			unknown:          metrics.GetOrRegisterCounter("requests.unknown", r),
+			retried:          metrics.GetOrRegisterCounter("requests.retried", r),
+			resumed:          metrics.GetOrRegisterCounter("requests.resumed", r),
+			crashes:          metrics.GetOrRegisterCounter("quarantine.crashes", r),
+			timeToFirstToken: metrics.GetOrRegisterTimer("requests.first_token", r),
+			totalTime:        metrics.GetOrRegisterTimer("requests.whole", r),
 		},
 	}
 }
 
-// Routes registers the caller-facing paths.
+// RegisterRoutes registers the paths that clients call.
 func (e *Entry) Routes(r route.IRoutes) {
 	r.POST("/v1/chat/completions", e.handle(e.serveChat))
 	r.Any("/services/:pool/*path", e.handle(e.servePlain))
 }
 
-// ApplyConfig brings a document's pools into force.
+// ApplyConfig updates the dispatch pools to those of a service document.
 func (e *Entry) ApplyConfig(f *configsync.InForce) {
 	for i := range f.Document.Pools {
 		pool := &f.Document.Pools[i]
@@ -137,11 +147,11 @@
 	}
 }
 
-// SetEmptied takes over which failure domains are emptied.
+// SetEmptied sets the failure domains whose upstreams get no new requests.
 func (e *Entry) SetEmptied(domains []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.emptied = domains
+	e.emptiedDomains = domains
 	for _, p := range e.pools {
 		p.SetEmptied(domains)
 	}
@@ -154,19 +164,20 @@
 	p := e.pools[key]
 	if p == nil {
 		p = dispatch.NewPool(e.Domain, e.Now)
-		p.SetEmptied(e.emptied)
+		p.SetEmptied(e.emptiedDomains)
 		e.pools[key] = p
 	}
 	return p
 }
 
-// Drain refuses new requests and waits until those that run have ended, or ctx
-// has. It is the front's own count: the HTTP library cuts streams when its own
-// bound has passed, so the server is shut down only after this returns.
+// Drain makes the Entry refuse new requests and waits until those in progress
+// have ended or ctx is done. Requests are counted here because the HTTP library
+// cuts streams when its own shutdown timeout has passed; the server is shut down
+// only after Drain returns.
 func (e *Entry) Drain(ctx context.Context) error {
-	e.gate.Lock()
+	e.drainMu.Lock()
 	e.draining.Store(true)
-	e.gate.Unlock()
+	e.drainMu.Unlock()
 	done := make(chan struct{})
 	go func() {
 		e.running.Wait()
@@ -180,107 +191,113 @@
 	}
 }
 
-// Active returns the number of requests in progress.
-func (e *Entry) Active() int64 { return e.active.Load() }
+// NumActive returns the number of requests in progress.
+func (e *Entry) Active() int64 { return e.numActive.Load() }
 
-// enter counts a request in, unless the instance stops. The gate makes sure
-// that no request slips in behind Drain's wait.
-func (e *Entry) enter() bool {
-	e.gate.RLock()
-	defer e.gate.RUnlock()
+// trackRequest counts a request as in progress; it returns false if the instance
+// is draining. drainMu ensures that no request is added after Drain has begun to
+// wait.
+func (e *Entry) trackRequest() bool {
+	e.drainMu.RLock()
+	defer e.drainMu.RUnlock()
 	if e.draining.Load() {
 		return false
 	}
 	e.running.Add(1)
-	e.active.Add(1)
+	e.numActive.Add(1)
 	return true
 }
 
-func (e *Entry) leave() {
-	e.active.Add(-1)
+func (e *Entry) untrackRequest() {
+	e.numActive.Add(-1)
 	e.running.Done()
 }
 
-// request is one caller's request on its way.
+// request is a client request in progress.
 type request struct {
-	id       string
-	ref      configsync.AccountRef
-	doc      *document.Document
-	budget   string
-	key      string
-	started  time.Time
-	deadline time.Time
-	facts    outcome.Facts
-	c        *app.RequestContext
-	// wrote says that a part of the answer is on its way to the caller, so
-	// nothing but the rest of it may follow.
-	wrote bool
-	// print is the request's fingerprint once it was needed.
-	print *fingerprint.Fingerprint
+	id             string
+	accountRef     configsync.AccountRef
+	doc            *document.Document
+	budget         string
+	idempotencyKey string
+	started        time.Time
+	deadline       time.Time
+	tracker        outcome.Tracker
+	c              *app.RequestContext
+	// responseStarted is set once a part of the response may have been sent to
+	// the client: only the rest of that response may follow.
+	responseStarted bool
+	// fingerprint is computed on first use; nil before.
+	fingerprint *fingerprint.Fingerprint
 }
 
-// handle is the frame around every caller's request.
+// handle returns the HTTP handler for one kind of request: it admits the request,
+// calls serve and writes the problem, if any, as the response.
 func (e *Entry) handle(serve func(context.Context, *request) *Problem) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		if !e.enter() {
-			notRun(consts.StatusServiceUnavailable, kindDraining, "this instance is stopping", drainRetryAfter).write(c)
+		if !e.trackRequest() {
+			notRunProblem(consts.StatusServiceUnavailable, kindDraining, "this instance is stopping", drainRetryAfter).write(c)
 			return
 		}
-		defer e.leave()
-		r, p := e.begin(c)
+		defer e.untrackRequest()
+		r, p := e.admit(c)
 		if p == nil {
 			ctx, cancel := context.WithCancel(ctx)
 			defer cancel()
 			p = serve(ctx, r)
 		}
-		e.end(r, p)
+		e.finish(r, p)
 	}
 }
 
-func (e *Entry) begin(c *app.RequestContext) (*request, *Problem) {
+// admit authenticates the client and checks the request against the limits of
+// the service.
+func (e *Entry) admit(c *app.RequestContext) (*request, *Problem) {
 	r := &request{id: ulid.Make().String(), started: e.Now(), c: c}
 	c.Header(chat.HeaderRequestID, r.id)
-	key, found := strings.CutPrefix(string(c.GetHeader("Authorization")), "Bearer ")
-	ref, known := e.Config.Snapshot().Account(strings.TrimSpace(key))
-	if !found || !known {
-		return r, notRun(consts.StatusUnauthorized, kindUnauthorized, "an API key of a client account is needed", 0)
+	key, isBearer := strings.CutPrefix(string(c.GetHeader("Authorization")), "Bearer ")
+	ref, found := e.Config.Snapshot().Account(strings.TrimSpace(key))
+	if !isBearer || !found {
+		return r, notRunProblem(consts.StatusUnauthorized, kindUnauthorized, "an API key of a client account is needed", 0)
 	}
-	r.ref = ref
+	r.accountRef = ref
 	r.doc = ref.Service.Document
 	r.budget = ledger.BudgetID(ref.Service.Service, ref.Account.Name)
 	r.deadline = r.started.Add(r.doc.Limits.Deadline())
-	r.key = string(c.GetHeader(chat.HeaderIdempotencyKey))
-	if len(r.key) > maxIdempotencyKeyBytes {
-		return r, notRun(consts.StatusBadRequest, kindBadRequest, "Idempotency-Key is longer than 255 bytes", 0)
+	r.idempotencyKey = string(c.GetHeader(chat.HeaderIdempotencyKey))
+	if len(r.idempotencyKey) > maxIdempotencyKeyBytes {
+		return r, notRunProblem(consts.StatusBadRequest, kindBadRequest, "Idempotency-Key is longer than 255 bytes", 0)
 	}
 	if len(c.Request.Body()) > r.doc.Limits.MaxBodyBytes {
-		return r, notRun(consts.StatusRequestEntityTooLarge, kindTooLarge, "the body is larger than the service allows", 0)
+		return r, notRunProblem(consts.StatusRequestEntityTooLarge, kindTooLarge, "the body is larger than the service allows", 0)
 	}
 	if e.Journal.Full() {
-		return r, notRun(consts.StatusServiceUnavailable, kindStore, "bills wait for the platform's store", storeRetryAfter)
+		return r, notRunProblem(consts.StatusServiceUnavailable, kindStoreUnavailable, "bills wait for the platform's store", storeRetryAfter)
 	}
-	e.meters.accepted.Inc(1)
+	e.metrics.accepted.Inc(1)
 	e.Log.Event(eventlog.RequestAccepted, r.id, eventlog.Fields{"budget": r.budget, "path": string(c.Path())})
 	return r, nil
 }
 
-func (e *Entry) end(r *request, p *Problem) {
+// finish counts and logs the result of a request, and writes p as the response
+// unless a response has been started.
+func (e *Entry) finish(r *request, p *Problem) {
 	if p == nil {
-		e.meters.ran.Inc(1)
-		e.meters.whole.UpdateSince(r.started)
+		e.metrics.ran.Inc(1)
+		e.metrics.totalTime.UpdateSince(r.started)
 		e.Log.Event(eventlog.RequestRan, r.id, nil)
 		return
 	}
 	p.Request = r.id
 	fields := eventlog.Fields{"reason": p.Title, "detail": p.Detail, "outcome": p.Outcome}
 	if p.Outcome == outcome.NotRun {
-		e.meters.refused.Inc(1)
+		e.metrics.refused.Inc(1)
 		e.Log.Event(eventlog.RequestRefused, r.id, fields)
 	} else {
-		e.meters.unknown.Inc(1)
+		e.metrics.unknown.Inc(1)
 		e.Log.Event(eventlog.RequestFailed, r.id, fields)
 	}
-	if !r.wrote {
+	if !r.responseStarted {
 		p.write(r.c)
 	}
 }
--- a/pkg/entry/incarnation.go
+++ b/pkg/entry/incarnation.go
@@ -11,128 +11,137 @@
 	"github.com/lavenderring/lavenderring/pkg/upstream"
 )
 
-// Pace of asking upstreams which process they are.
+// Timing and bounds of the queries for the incarnations of upstreams.
 const (
-	incarnationEvery   = 100 * time.Millisecond
-	incarnationTimeout = 300 * time.Millisecond
-	// askAgainAfter is the pause before an upstream is asked again that answered without saying.
-	askAgainAfter = 10 * time.Second
-	// mostAsked bounds the upstreams asked at a time.
-	mostAsked = 16
+	incarnationInterval = 100 * time.Millisecond
+	incarnationTimeout  = 300 * time.Millisecond
+	// incarnationRetryInterval is the wait before an upstream is queried again that answered without
+	// naming its incarnation.
+	incarnationRetryInterval = 10 * time.Second
+	// maxIncarnationQueries bounds the upstreams queried at a time.
+	maxIncarnationQueries = 16
 )
 
-// incarnations holds the last known process at each upstream's address. The zero value is empty.
+// incarnations holds the last known incarnation, one process of an upstream, at each upstream's
+// address. The zero value is empty.
 type incarnations struct {
-	mu    sync.Mutex
-	known map[string]string
-	// asked is when an upstream of which none is known was asked last.
-	asked map[string]time.Time
-	// failing holds the upstreams whose last answer to the question failed.
+	mu        sync.Mutex
+	byAddress map[string]string
+	// lastQuery is the time of the last query to an upstream whose incarnation is not known.
+	lastQuery map[string]time.Time
+	// failing holds the upstreams whose last query failed.
 	failing map[string]bool
 }
 
-// fail notes whether an upstream failed to say which process it is, and reports whether that is new.
-func (i *incarnations) fail(address string, failed bool) (began bool) {
+// recordQuery records whether a query for an upstream's incarnation failed. It reports whether this is
+// the first failure since a query succeeded. A failed query is repeated without
+// incarnationRetryInterval.
+func (i *incarnations) recordQuery(address string, failed bool) (newlyFailing bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	began = failed && !i.failing[address]
+	newlyFailing = failed && !i.failing[address]
 	if !failed {
 		delete(i.failing, address)
 		return false
 	}
-	delete(i.asked, address)
+	delete(i.lastQuery, address)
 	if i.failing == nil {
 		i.failing = map[string]bool{}
 	}
 	i.failing[address] = true
-	return began
+	return newlyFailing
 }
 
-// at returns the process last known at an address; empty if none is.
-func (i *incarnations) at(address string) string {
+// get returns the last known incarnation at an address; empty if none is known.
+func (i *incarnations) get(address string) string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.known[address]
+	return i.byAddress[address]
 }
 
-// forget drops what is known of an address, if that is still a process that has ended.
-func (i *incarnations) forget(address, ended string) {
+// remove forgets the incarnation at an address if it is still the given one, which has ended.
+func (i *incarnations) remove(address, ended string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.known[address] == ended {
-		delete(i.known, address)
-		delete(i.asked, address)
+	if i.byAddress[address] == ended {
+		delete(i.byAddress, address)
+		delete(i.lastQuery, address)
 	}
 }
 
-func (i *incarnations) note(address, incarnation string) {
+func (i *incarnations) set(address, incarnation string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.known == nil {
-		i.known = map[string]string{}
+	if i.byAddress == nil {
+		i.byAddress = map[string]string{}
 	}
-	i.known[address] = incarnation
+	i.byAddress[address] = incarnation
 }
 
-// mayAsk reports whether it is time to ask an upstream of which no process is known.
-func (i *incarnations) mayAsk(address string, now time.Time) bool {
+// startQuery reports whether an upstream whose incarnation is not known is due for a query, and if so
+// records the time of the query.
+func (i *incarnations) startQuery(address string, now time.Time) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	last, asked := i.asked[address]
-	if i.known[address] != "" || (asked && now.Sub(last) < askAgainAfter) {
+	last, queried := i.lastQuery[address]
+	if i.byAddress[address] != "" || (queried && now.Sub(last) < incarnationRetryInterval) {
 		return false
 	}
-	if i.asked == nil {
-		i.asked = map[string]time.Time{}
+	if i.lastQuery == nil {
+		i.lastQuery = map[string]time.Time{}
 	}
-	i.asked[address] = now
+	i.lastQuery[address] = now
 	return true
 }
 
-// noteIncarnation takes in which process gave an answer to what was sent after a time.
-func (e *Entry) noteIncarnation(address, incarnation string, since time.Time) {
+// recordIncarnation records that an incarnation answered at an address what was sent to it at or after
+// the time since. An empty incarnation changes nothing.
+func (e *Entry) recordIncarnation(address, incarnation string, since time.Time) {
 	if incarnation == "" {
 		return
 	}
-	e.incarnations.note(address, incarnation)
+	e.incarnations.set(address, incarnation)
 	e.Quarantine.Answered(address, incarnation, since)
 }
 
-// incarnationAt returns the process that is at an address, as far as it is known; empty if it is not.
+// incarnationAt returns the incarnation at an address; empty if it is not known, or the last known one
+// has crashed.
 func (e *Entry) incarnationAt(address string) string {
-	known := e.incarnations.at(address)
+	known := e.incarnations.get(address)
 	if known == "" || !e.Quarantine.HasCrashed(address, known) {
 		return known
 	}
-	e.incarnations.forget(address, known)
+	e.incarnations.remove(address, known)
 	return ""
 }
 
-// WatchIncarnations asks upstreams which process they are, until ctx ends: those that have not said
-// yet, and those one of whose connections ended before a whole answer.
+// PollIncarnations queries upstreams for their incarnation until ctx ends: those whose incarnation is
+// not known, and those of which it is undecided whether they crashed when a connection ended before a
+// whole answer.
 func (e *Entry) WatchIncarnations(ctx context.Context) {
-	for pause.For(ctx, incarnationEvery) {
+	for pause.For(ctx, incarnationInterval) {
 		var round sync.WaitGroup
-		for _, address := range e.unsureAddresses() {
-			round.Go(func() { _ = e.askIncarnation(ctx, address) }) // it is asked again, and told of
+		for _, address := range e.addressesToQuery() {
+			round.Go(func() { _ = e.queryIncarnation(ctx, address) }) // a failure is logged, and the upstream queried again
 		}
 		round.Wait()
 	}
 }
 
-func (e *Entry) unsureAddresses() []string {
-	var unsure []string
-	for _, address := range e.addresses() {
-		unknown := e.incarnationAt(address) == "" && e.incarnations.mayAsk(address, e.Now())
-		if len(unsure) < mostAsked && (unknown || e.Quarantine.Undecided(address)) {
-			unsure = append(unsure, address)
+// addressesToQuery returns the upstreams to query now, at most maxIncarnationQueries.
+func (e *Entry) addressesToQuery() []string {
+	var toQuery []string
+	for _, address := range e.upstreamAddresses() {
+		queryDue := e.incarnationAt(address) == "" && e.incarnations.startQuery(address, e.Now())
+		if len(toQuery) < maxIncarnationQueries && (queryDue || e.Quarantine.Undecided(address)) {
+			toQuery = append(toQuery, address)
 		}
 	}
-	return unsure
+	return toQuery
 }
 
-// addresses returns those of all upstreams in service.
-func (e *Entry) addresses() []string {
+// upstreamAddresses returns the addresses of all upstreams that are not leaving.
+func (e *Entry) upstreamAddresses() []string {
 	var addresses []string
 	for _, service := range e.Config.Snapshot().Services {
 		for _, pool := range service.Document.Pools {
@@ -146,15 +155,16 @@
 	return addresses
 }
 
-// askIncarnation asks an upstream which process it is. Errors: *upstream.CallError.
-func (e *Entry) askIncarnation(ctx context.Context, address string) error {
+// queryIncarnation asks an upstream for its incarnation and records the answer. The first of several
+// failures in a row is logged. Errors: *upstream.CallError.
+func (e *Entry) queryIncarnation(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, incarnationTimeout)
 	defer cancel()
 	since := e.Now()
 	incarnation, err := upstream.FetchIncarnation(ctx, address)
-	if e.incarnations.fail(address, err != nil) {
+	if e.incarnations.recordQuery(address, err != nil) {
 		e.Log.Event(eventlog.UpstreamUnidentified, "", eventlog.Fields{"peer": address, "step": "incarnation", "cause": err.Error()})
 	}
-	e.noteIncarnation(address, incarnation, since)
+	e.recordIncarnation(address, incarnation, since)
 	return err
 }
--- a/pkg/entry/load.go
+++ b/pkg/entry/load.go
@@ -13,26 +13,27 @@
 	"github.com/lavenderring/lavenderring/pkg/upstream"
 )
 
-// Pace of asking upstreams for their load.
+// Timing and bounds of the load queries to upstreams.
 const (
-	// pollsPerRound bounds the upstreams asked in one round, so that an
-	// instance's questions do not grow with the number of upstreams.
-	pollsPerRound = 16
-	pollEvery     = time.Second
-	pollTimeout   = 300 * time.Millisecond
+	// maxPollsPerRound bounds the upstreams polled in one round, so that an
+	// instance's load queries do not grow with the number of upstreams.
+	maxPollsPerRound = 16
+	pollInterval     = time.Second
+	pollTimeout      = 300 * time.Millisecond
 )
 
-// loadTarget is one upstream to ask.
+// loadTarget is one upstream to poll.
 type loadTarget struct {
 	pool     *dispatch.Pool
 	upstream document.Upstream
 }
 
-// PollLoads asks model engines for their load, in turn, until ctx ends.
+// PollLoads queries the model engines for their load, in round-robin order, until
+// ctx ends.
 func (e *Entry) PollLoads(ctx context.Context) {
-	for next := 0; pause.For(ctx, pollEvery); {
+	for next := 0; pause.For(ctx, pollInterval); {
 		targets := e.loadTargets()
-		count := min(pollsPerRound, len(targets))
+		count := min(maxPollsPerRound, len(targets))
 		var round sync.WaitGroup
 		for i := range count {
 			target := targets[(next+i)%len(targets)]
--- a/pkg/entry/plain.go
+++ b/pkg/entry/plain.go
@@ -17,31 +17,32 @@
 	"github.com/lavenderring/lavenderring/pkg/upstream"
 )
 
-// plainCall is one request to a plain service on its way.
+// plainCall is a request to a plain service in progress.
 type plainCall struct {
-	e          *Entry
-	r          *request
-	pool       *document.Pool
-	dispatch   *dispatch.Pool
-	call       upstream.PlainRequest
-	repeatable bool
-	cost       cost
-	tried      []string
-	answer     *upstream.PlainAnswer
+	e              *Entry
+	r              *request
+	pool           *document.Pool
+	dispatch       *dispatch.Pool
+	call           upstream.PlainRequest
+	idempotent     bool
+	billing        billing
+	triedUpstreams []string
+	answer         *upstream.PlainAnswer
 }
 
-// isOnce reports whether the document says that a request may not be repeated.
-func isOnce(pool *document.Pool, method, path string) bool {
+// isAtMostOnce reports whether the service document lists a request as one that
+// may not be repeated.
+func isAtMostOnce(pool *document.Pool, method, path string) bool {
 	for _, once := range pool.Once {
-		if once.Method == method && pathUnder(path, once.Path) {
+		if once.Method == method && hasPathPrefix(path, once.Path) {
 			return true
 		}
 	}
 	return false
 }
 
-// pathUnder reports whether a path is the prefix or below it.
-func pathUnder(path, prefix string) bool {
+// hasPathPrefix reports whether path equals prefix or is below it.
+func hasPathPrefix(path, prefix string) bool {
 	rest, found := strings.CutPrefix(path, strings.TrimSuffix(prefix, "/"))
 	return found && (rest == "" || strings.HasPrefix(rest, "/"))
 }
@@ -49,23 +50,23 @@
 func (e *Entry) servePlain(ctx context.Context, r *request) *Problem {
 	pool := r.doc.Pool(r.c.Param("pool"))
 	if pool == nil || pool.Kind != document.KindPlain {
-		return notRun(consts.StatusNotFound, kindNotFound, "the service has no such plain service", 0)
+		return notRunProblem(consts.StatusNotFound, kindNotFound, "the service has no such plain service", 0)
 	}
 	method, path := string(r.c.Method()), "/"+strings.TrimPrefix(r.c.Param("path"), "/")
 	call := &plainCall{
 		e:          e,
 		r:          r,
 		pool:       pool,
-		dispatch:   e.pool(r.ref.Service.Service, pool.Name),
-		repeatable: !isOnce(pool, method, path),
-		cost:       cost{entry: e, r: r},
+		dispatch:   e.pool(r.accountRef.Service.Service, pool.Name),
+		idempotent: !isAtMostOnce(pool, method, path),
+		billing:    billing{entry: e, r: r},
 		call: upstream.PlainRequest{
 			ID:             r.id,
 			Method:         method,
 			Path:           path,
 			Query:          string(r.c.URI().QueryString()),
 			ContentType:    string(r.c.ContentType()),
-			IdempotencyKey: r.key,
+			IdempotencyKey: r.idempotencyKey,
 			Body:           append([]byte(nil), r.c.Request.Body()...),
 		},
 	}
@@ -73,122 +74,125 @@
 }
 
 func (p *plainCall) serve(ctx context.Context) *Problem {
-	if p.repeatable || p.r.key == "" {
+	if p.idempotent || p.r.idempotencyKey == "" {
 		return p.run(ctx)
 	}
 	content := fingerprint.Content(p.call.Method, p.call.Path+"?"+p.call.Query, p.call.Body)
-	return p.e.once(ctx, p.r, content.String(), p.runOnce)
+	return p.e.runAtMostOnce(ctx, p.r, content.String(), p.runClaimed)
 }
 
-func (p *plainCall) runOnce(ctx context.Context) (*claim.Answer, *Problem) {
+func (p *plainCall) runClaimed(ctx context.Context) (*claim.Answer, *Problem) {
 	if problem := p.run(ctx); problem != nil {
 		return nil, problem
 	}
 	return &claim.Answer{Status: p.answer.Status, ContentType: p.answer.ContentType, Body: p.answer.Body}, nil
 }
 
-// run reserves, and dispatches until an upstream answers or nothing more may be
-// tried.
+// run reserves tokens and makes attempts until an upstream answers or no retry is
+// allowed.
 func (p *plainCall) run(ctx context.Context) *Problem {
-	if problem := p.e.refuseCondemned(p.r); problem != nil {
+	if problem := p.e.checkQuarantine(p.r); problem != nil {
 		return problem
 	}
-	if problem := p.cost.hold(ctx, p.pool.PriceTokens); problem != nil {
+	if problem := p.billing.reserve(ctx, p.pool.PriceTokens); problem != nil {
 		return problem
 	}
-	p.cost.open(ctx)
+	p.billing.open(ctx)
 	p.e.retries.deposit()
 	for {
-		again, problem := p.attempt(ctx)
+		retry, problem := p.attempt(ctx)
 		if problem == nil {
-			p.cost.spend(p.pool.PriceTokens)
-			p.cost.close(true)
+			p.billing.settle(p.pool.PriceTokens)
+			p.billing.close(true)
 			p.deliver()
 			return nil
 		}
-		if !again || !p.e.retries.withdraw() {
+		if !retry || !p.e.retries.withdraw() {
 			p.settleFailed(problem)
 			return problem
 		}
-		p.e.meters.retried.Inc(1)
+		p.e.metrics.retried.Inc(1)
 	}
 }
 
-// settleFailed bills the price once if the request may have run.
+// settleFailed settles a failed request: it bills the price once if the request
+// may have run, and nothing if it did not run.
 func (p *plainCall) settleFailed(problem *Problem) {
 	if problem.Outcome == outcome.NotRun {
-		p.cost.spend(0)
+		p.billing.settle(0)
 	} else {
-		p.cost.spend(p.pool.PriceTokens)
+		p.billing.settle(p.pool.PriceTokens)
 	}
-	p.cost.close(false)
+	p.billing.close(false)
 }
 
-// attempt calls one upstream. again says that another may be tried: the
-// request may be repeated, or not a byte of it has left.
-func (p *plainCall) attempt(ctx context.Context) (again bool, problem *Problem) {
-	begun, problem := p.e.beginRun(p.r)
+// attempt calls one upstream. retry reports whether another one may be tried.
+func (p *plainCall) attempt(ctx context.Context) (retry bool, problem *Problem) {
+	quarantineRun, problem := p.e.beginRun(p.r)
 	if problem != nil {
 		return false, problem
 	}
 	lease, err := p.dispatch.Acquire(ctx, dispatch.Want{
 		Pool:    p.pool.Name,
 		Urgent:  p.pool.Urgent,
-		Tried:   p.tried,
+		Tried:   p.triedUpstreams,
 		StartBy: p.r.deadline,
 	})
 	if err != nil {
-		begun.Ended()
+		quarantineRun.Ended()
 		return false, acquireProblem(p.r, err)
 	}
-	p.tried = append(p.tried, lease.Upstream.Name)
+	p.triedUpstreams = append(p.triedUpstreams, lease.Upstream.Name)
 	p.e.Log.Event(eventlog.RequestDispatched, p.r.id, eventlog.Fields{"upstream": lease.Upstream.Name})
 	ctx, cancel := context.WithDeadline(ctx, p.r.deadline)
 	defer cancel()
-	run, err := p.e.runAt(ctx, begun, lease)
+	run, err := p.e.startRunAt(ctx, quarantineRun, lease)
 	var answer *upstream.PlainAnswer
 	if err == nil {
-		answer, err = upstream.CallPlain(ctx, lease.Upstream.Address, p.call, &p.r.facts)
+		answer, err = upstream.CallPlain(ctx, lease.Upstream.Address, p.call, &p.r.tracker)
 	}
-	p.e.concludeRun(ctx, p.r, run, !neverLeft(err), err)
+	p.e.concludeRun(ctx, p.r, run, !failedBeforeSending(err), err)
 	if err != nil {
-		p.e.done(lease, dispatch.Result{Failed: true, Load: -1})
-		return p.mayTryAgain(err), p.e.upstreamProblem(p.r, err)
+		p.e.releaseLease(lease, dispatch.Result{Failed: true, Load: -1})
+		return p.canRetry(err), p.e.upstreamProblem(p.r, err)
 	}
-	p.e.noteIncarnation(lease.Upstream.Address, answer.Incarnation, run.began)
-	p.e.done(lease, dispatch.Result{Load: answer.Load})
-	p.r.facts.MarkAnswered()
+	p.e.recordIncarnation(lease.Upstream.Address, answer.Incarnation, run.startedAt)
+	p.e.releaseLease(lease, dispatch.Result{Load: answer.Load})
+	p.r.tracker.MarkAnswered()
 	p.answer = answer
 	return false, nil
 }
 
-func (p *plainCall) mayTryAgain(err error) bool {
+// canRetry reports whether another upstream may be tried after err: the request
+// is idempotent, or no byte of it has been sent.
+func (p *plainCall) canRetry(err error) bool {
 	var call *upstream.CallError
 	undelivered := errors.As(err, &call) && call.Step == "dial"
-	return (p.repeatable || (undelivered && !p.r.facts.Handed())) && p.e.Now().Before(p.r.deadline)
+	return (p.idempotent || (undelivered && !p.r.tracker.MaybeSent())) && p.e.Now().Before(p.r.deadline)
 }
 
 func (p *plainCall) deliver() {
-	p.r.wrote = true
+	p.r.responseStarted = true
 	p.r.c.Header(chat.HeaderOutcome, string(outcome.Ran))
 	p.r.c.Data(p.answer.Status, p.answer.ContentType, p.answer.Body)
 }
 
-// done gives a place back and notes when an upstream starts to be avoided.
-func (e *Entry) done(lease *dispatch.Lease, result dispatch.Result) {
+// releaseLease ends a lease on an upstream and logs when the upstream starts to
+// be avoided.
+func (e *Entry) releaseLease(lease *dispatch.Lease, result dispatch.Result) {
 	if lease.Done(result) {
 		e.Log.Event(eventlog.UpstreamFailing, "", eventlog.Fields{"upstream": lease.Upstream.Name})
 	}
 }
 
-// upstreamProblem tells a caller that no whole answer came.
+// upstreamProblem tells the client that no whole answer was received.
 func (e *Entry) upstreamProblem(r *request, err error) *Problem {
-	if errors.Is(err, upstream.ErrMismatch) {
+	if errors.Is(err, upstream.ErrRequestIDMismatch) {
 		e.Log.Event(eventlog.AnswerMismatch, r.id, eventlog.Fields{"cause": err.Error()})
 	}
-	word := r.facts.Word()
+	result := r.tracker.Outcome()
 	if errors.Is(err, context.DeadlineExceeded) {
-		return problem(consts.StatusGatewayTimeout, kindDeadline, err.Error(), word, drainRetryAfter)
+		return newProblem(consts.StatusGatewayTimeout, kindDeadlineExceeded, err.Error(), result, drainRetryAfter)
 	}
-	return problem(consts.StatusBadGateway, kindUpstream, err.Error(), word, drainRetryAfter)
+	return newProblem(consts.StatusBadGateway, kindUpstreamFailed, err.Error(), result, drainRetryAfter)
 }
--- a/pkg/entry/problem.go
+++ b/pkg/entry/problem.go
@@ -13,60 +13,64 @@
 	"github.com/lavenderring/lavenderring/pkg/outcome"
 )
 
-// Problem is a refusal or failure as callers get it, application/problem+json.
+// Problem is the body of the response to a request that was refused or failed,
+// application/problem+json (RFC 9457).
 type Problem struct {
 	// Type and Title name the kind of problem.
 	Type  string `json:"type"`
 	Title string `json:"title"`
 	// Status is the HTTP status.
 	Status int `json:"status"`
-	// Detail says more.
+	// Detail describes this occurrence.
 	Detail string `json:"detail,omitempty"`
-	// Outcome says whether the request ran.
-	Outcome outcome.Word `json:"outcome"`
-	// Request is the request's id, to be named to the operators.
+	// Outcome tells whether the request ran.
+	Outcome outcome.Outcome `json:"outcome"`
+	// Request is the request's id, by which operators can look it up.
 	Request string `json:"request,omitempty"`
-	// ShortTokens is how many tokens the account lacks, where that is the cause.
+	// ShortTokens is the number of tokens that the account lacks; 0 for other
+	// problems.
 	ShortTokens int64 `json:"short_tokens,omitempty"`
-	// RetryAfterSeconds is when to come back; 0 if that does not help.
+	// RetryAfterSeconds is the wait before a retry; 0 if a retry does not help.
 	RetryAfterSeconds int64 `json:"retry_after_seconds,omitempty"`
 }
 
 // Kinds of problem.
 const (
-	kindUnauthorized  = "unauthorized"
-	kindBadRequest    = "bad-request"
-	kindNotFound      = "not-found"
-	kindTooLarge      = "too-large"
-	kindBudget        = "budget-exhausted"
-	kindBudgetUnknown = "budget-unreachable"
-	kindOverloaded    = "overloaded"
-	kindDraining      = "draining"
-	kindStore         = "store-unavailable"
-	kindUpstream      = "upstream-failed"
-	kindDeadline      = "deadline-exceeded"
-	kindKeyReused     = "idempotency-key-reused"
-	kindInProgress    = "request-in-progress"
-	kindKeyUnknown    = "outcome-unknown"
-	kindQuarantined   = "request-quarantined"
-	kindSuspected     = "request-suspected"
+	kindUnauthorized         = "unauthorized"
+	kindBadRequest           = "bad-request"
+	kindNotFound             = "not-found"
+	kindTooLarge             = "too-large"
+	kindBudgetExhausted      = "budget-exhausted"
+	kindBudgetUnreachable    = "budget-unreachable"
+	kindOverloaded           = "overloaded"
+	kindDraining             = "draining"
+	kindStoreUnavailable     = "store-unavailable"
+	kindUpstreamFailed       = "upstream-failed"
+	kindDeadlineExceeded     = "deadline-exceeded"
+	kindIdempotencyKeyReused = "idempotency-key-reused"
+	kindRequestInProgress    = "request-in-progress"
+	kindOutcomeUnknown       = "outcome-unknown"
+	kindQuarantined          = "request-quarantined"
+	kindSuspected            = "request-suspected"
 )
 
-// problem makes a Problem; retryAfter 0 means that coming back does not help.
-func problem(status int, kind, detail string, word outcome.Word, retryAfter time.Duration) *Problem {
+// newProblem returns a Problem; a retryAfter of 0 means that a retry does not
+// help.
+func newProblem(status int, kind, detail string, result outcome.Outcome, retryAfter time.Duration) *Problem {
 	return &Problem{
 		Type:              "urn:lavenderring:problem:" + kind,
 		Title:             kind,
 		Status:            status,
 		Detail:            detail,
-		Outcome:           word,
+		Outcome:           result,
 		RetryAfterSeconds: int64(math.Ceil(retryAfter.Seconds())),
 	}
 }
 
-// notRun makes a refusal of a request that truly did not run.
-func notRun(status int, kind, detail string, retryAfter time.Duration) *Problem {
-	return problem(status, kind, detail, outcome.NotRun, retryAfter)
+// notRunProblem returns the Problem of a request of which no byte was sent to an
+// upstream.
+func notRunProblem(status int, kind, detail string, retryAfter time.Duration) *Problem {
+	return newProblem(status, kind, detail, outcome.NotRun, retryAfter)
 }
 
 // Error implements error.
--- a/pkg/entry/reserve.go
+++ b/pkg/entry/reserve.go
@@ -13,91 +13,93 @@
 	"github.com/lavenderring/lavenderring/pkg/eventlog"
 )
 
-// reserve sets a bound in tokens aside.
-func (e *Entry) reserve(ctx context.Context, r *request, bound int64, into *budget.Reservation) *Problem {
+// reserve reserves maxCost tokens of the request's budget.
+func (e *Entry) reserve(ctx context.Context, r *request, maxCost int64, into *budget.Reservation) *Problem {
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
-	err := e.Budgets.Reserve(ctx, r.budget, bound, into)
+	err := e.Budgets.Reserve(ctx, r.budget, maxCost, into)
 	if err == nil {
 		return nil
 	}
-	e.Log.Event(eventlog.ReservationDenied, r.id, eventlog.Fields{"budget": r.budget, "tokens": bound, "cause": err.Error()})
+	e.Log.Event(eventlog.ReservationDenied, r.id, eventlog.Fields{"budget": r.budget, "tokens": maxCost, "cause": err.Error()})
 	var short *budget.ShortError
 	if !errors.As(err, &short) {
-		return notRun(consts.StatusServiceUnavailable, kindBudgetUnknown, err.Error(), storeRetryAfter)
+		return notRunProblem(consts.StatusServiceUnavailable, kindBudgetUnreachable, err.Error(), storeRetryAfter)
 	}
-	return shortProblem(short)
+	return budgetProblem(short)
 }
 
-// shortProblem tells the account itself how much it lacks. A budget that is
-// used up wants a top-up; one that is partly out of reach wants time.
-func shortProblem(short *budget.ShortError) *Problem {
+// budgetProblem tells the client how many tokens its account lacks. A budget that
+// is used up needs a top-up; one that is partly out of reach needs only time.
+func budgetProblem(short *budget.ShortError) *Problem {
 	missing := short.Need - short.Found
 	if !short.Exhausted {
 		detail := fmt.Sprintf("%d tokens of the account's budget are out of reach now", missing)
-		return notRun(consts.StatusServiceUnavailable, kindBudgetUnknown, detail, storeRetryAfter)
+		return notRunProblem(consts.StatusServiceUnavailable, kindBudgetUnreachable, detail, storeRetryAfter)
 	}
 	detail := fmt.Sprintf("the request may cost %d tokens; the account has %d", short.Need, short.Found)
-	p := notRun(consts.StatusPaymentRequired, kindBudget, detail, budgetRetryAfter)
+	p := notRunProblem(consts.StatusPaymentRequired, kindBudgetExhausted, detail, budgetRetryAfter)
 	p.ShortTokens = missing
 	return p
 }
 
-// cost gathers what a request's attempts cost, so that it gets one bill.
-type cost struct {
+// billing sums the cost of a request's attempts, so that the request gets one
+// bill.
+type billing struct {
 	entry       *Entry
 	r           *request
 	reservation budget.Reservation
-	total       int64
+	totalTokens int64
 	opened      bool
 }
 
-// hold reserves for one attempt.
-func (c *cost) hold(ctx context.Context, bound int64) *Problem {
+// reserve reserves maxCost tokens for one attempt.
+func (c *billing) reserve(ctx context.Context, maxCost int64) *Problem {
 	c.reservation = budget.Reservation{}
-	return c.entry.reserve(ctx, c.r, bound, &c.reservation)
+	return c.entry.reserve(ctx, c.r, maxCost, &c.reservation)
 }
 
-// open starts the bill before the first dispatch, and has a copy of it made: if
-// this instance dies now, the request is known to be in doubt, not forgotten.
-func (c *cost) open(ctx context.Context) {
+// open records the request in the journal before the first dispatch and waits for
+// a copy of the record: if this instance crashes, the request is known to be in
+// doubt instead of being lost.
+func (c *billing) open(ctx context.Context) {
 	if c.opened {
 		return
 	}
 	c.opened = true
 	c.entry.Journal.Open(c.r.id, c.r.budget, c.reservation.Tokens())
-	c.entry.Journal.Secure(ctx)
+	c.entry.Journal.WaitForCopy(ctx)
 }
 
-// spend settles one attempt.
-func (c *cost) spend(used int64) {
+// settle charges one attempt and returns the rest of its reservation.
+func (c *billing) settle(used int64) {
 	billed := c.entry.Budgets.Settle(&c.reservation, used)
 	if billed < used {
 		c.entry.Log.Event(eventlog.UsageAboveBound, c.r.id, eventlog.Fields{"reported": used, "bound": billed})
 	}
-	c.total += billed
+	c.totalTokens += billed
 }
 
-// close writes the one bill.
-func (c *cost) close(ran bool) {
+// close writes the request's bill to the journal.
+func (c *billing) close(ran bool) {
 	if !c.opened {
 		return
 	}
-	word := bill.OutcomeUnknown
+	result := bill.OutcomeUnknown
 	if ran {
-		word = bill.OutcomeRan
+		result = bill.OutcomeRan
 	}
-	c.entry.Journal.Settle(c.r.id, c.total, word)
-	c.entry.Log.Event(eventlog.RequestBilled, c.r.id, eventlog.Fields{"budget": c.r.budget, "tokens": c.total})
+	c.entry.Journal.Settle(c.r.id, c.totalTokens, result)
+	c.entry.Log.Event(eventlog.RequestBilled, c.r.id, eventlog.Fields{"budget": c.r.budget, "tokens": c.totalTokens})
 }
 
-// acquireProblem tells a caller why no upstream takes its request now.
+// acquireProblem tells the client why no upstream was available for its request.
 func acquireProblem(r *request, err error) *Problem {
 	var overload *dispatch.OverloadError
 	if errors.As(err, &overload) {
-		p := problem(consts.StatusServiceUnavailable, kindOverloaded, "no upstream can start the request in time",
-			r.facts.Word(), overload.RetryAfter)
+		p := newProblem(consts.StatusServiceUnavailable, kindOverloaded, "no upstream can start the request in time",
+			r.tracker.Outcome(), overload.RetryAfter)
 		return p
 	}
-	return problem(consts.StatusGatewayTimeout, kindDeadline, err.Error(), r.facts.Word(), 0)
+	return newProblem(consts.StatusGatewayTimeout, kindDeadlineExceeded, err.Error(), r.tracker.Outcome(), 0)
 }
--- a/pkg/entry/retry.go
+++ b/pkg/entry/retry.go
@@ -4,15 +4,16 @@
 
 // Constants of the retry budget.
 const (
-	// retryShare is how many retries one accepted request pays for.
-	retryShare = 0.1
-	// retryBurst bounds the retries saved up.
-	retryBurst = 10.0
+	// retriesPerRequest is the part of a retry that each dispatched request adds
+	// to the budget.
+	retriesPerRequest = 0.1
+	// maxSavedRetries bounds the retries that the budget holds.
+	maxSavedRetries = 10.0
 )
 
-// retryBudget keeps retries a small part of the traffic: when upstreams fail
-// altogether, retrying each request would double the load on what still works.
-// The zero value holds nothing until requests have paid in.
+// retryBudget limits retries to a small part of the traffic: when many upstreams
+// fail at once, retrying each request would double the load on those that still
+// work. The zero value allows no retry before requests have been dispatched.
 type retryBudget struct {
 	mu    sync.Mutex
 	saved float64
@@ -22,10 +23,10 @@
 func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.saved+retryShare, retryBurst)
+	b.saved = min(b.saved+retriesPerRequest, maxSavedRetries)
 }
 
-// withdraw takes one retry and reports whether there was one.
+// withdraw takes one retry from the budget and reports whether there was one.
 func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/entry/writer.go
+++ b/pkg/entry/writer.go
@@ -12,39 +12,39 @@
 	"github.com/lavenderring/lavenderring/pkg/outcome"
 )
 
-// answerWriter brings a model's answer to its caller in the form asked for.
+// answerWriter writes a model's answer to the client, whole or as a stream.
 type answerWriter interface {
-	// event takes one event; offset is 0 for events that carry no token.
+	// event handles one event; offset is 0 for events that carry no token.
 	event(offset int64, response *chat.Response) error
-	// started reports whether a part has gone to the caller.
+	// started reports whether a part of the answer has been written to the client.
 	started() bool
-	// reset forgets what was gathered, before another engine is asked.
+	// reset discards the buffered answer before another engine is tried.
 	reset()
 	// finish ends a whole answer.
 	finish()
-	// fail ends an answer that did not become whole.
+	// fail ends an incomplete answer.
 	fail(p *Problem)
-	// whole returns the answer as one response.
-	whole() chat.Response
+	// response returns the answer as one response.
+	response() chat.Response
 }
 
 func newAnswerWriter(r *request, req *chat.Request) answerWriter {
-	gathered := gathered{r: r, model: req.Model}
+	buffer := answerBuffer{r: r, model: req.Model}
 	if req.Stream {
-		return &streamWriter{gathered: gathered}
+		return &streamWriter{answerBuffer: buffer}
 	}
-	return &wholeWriter{gathered: gathered}
+	return &bufferedWriter{answerBuffer: buffer}
 }
 
-// gathered keeps the answer's text and usage.
-type gathered struct {
+// answerBuffer accumulates the answer's text and usage.
+type answerBuffer struct {
 	r     *request
 	model string
 	text  strings.Builder
 	usage *chat.Usage
 }
 
-func (g *gathered) gather(response *chat.Response) {
+func (g *answerBuffer) add(response *chat.Response) {
 	if response.Usage != nil {
 		g.usage = response.Usage
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-func (g *gathered) whole() chat.Response {
+func (g *answerBuffer) response() chat.Response {
 	message := &chat.Message{Role: "assistant", Content: g.text.String()}
 	return chat.Response{
 		ID:      g.r.id,
@@ -65,38 +65,38 @@
 	}
 }
 
-func (g *gathered) reset() {
+func (g *answerBuffer) reset() {
 	g.text.Reset()
 	g.usage = nil
 }
 
-// wholeWriter answers once, when everything is there.
-type wholeWriter struct{ gathered }
+// bufferedWriter writes the answer as one response once it is whole.
+type bufferedWriter struct{ answerBuffer }
 
-func (w *wholeWriter) event(_ int64, response *chat.Response) error {
-	w.gather(response)
+func (w *bufferedWriter) event(_ int64, response *chat.Response) error {
+	w.add(response)
 	return nil
 }
 
-func (w *wholeWriter) started() bool { return false }
+func (w *bufferedWriter) started() bool { return false }
 
-func (w *wholeWriter) finish() {
-	w.r.wrote = true
+func (w *bufferedWriter) finish() {
+	w.r.responseStarted = true
 	w.r.c.Header(chat.HeaderOutcome, string(outcome.Ran))
-	w.r.c.JSON(consts.StatusOK, w.whole())
+	w.r.c.JSON(consts.StatusOK, w.response())
 }
 
-func (w *wholeWriter) fail(*Problem) {}
+func (w *bufferedWriter) fail(*Problem) {}
 
-// streamWriter answers event by event. Only a whole answer gets the end mark;
-// any other ends with an error event, so that no caller takes it for whole.
+// streamWriter writes the answer event by event. Only a whole answer gets the end
+// mark; any other ends with an error event, so that no client takes it for whole.
 type streamWriter struct {
-	gathered
+	answerBuffer
 	sse *sse.Writer
 }
 
 func (w *streamWriter) event(offset int64, response *chat.Response) error {
-	w.gather(response)
+	w.add(response)
 	data, err := json.Marshal(response)
 	if err != nil {
 		return err
@@ -106,11 +106,11 @@
 		id = strconv.FormatInt(offset, 10)
 	}
 	if w.sse == nil {
-		w.r.wrote = true
+		w.r.responseStarted = true
 		w.sse = sse.NewWriter(w.r.c)
 	}
 	if w.sse.WriteEvent(id, "", data) != nil {
-		return errCallerGone
+		return errClientGone
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 
 func (w *streamWriter) finish() {
 	if w.sse == nil {
-		w.r.wrote = true
+		w.r.responseStarted = true
 		w.sse = sse.NewWriter(w.r.c)
 	}
 	_ = w.sse.WriteEvent("", "", []byte(chat.EndMark))
@@ -128,7 +128,7 @@
 
 func (w *streamWriter) fail(p *Problem) {
 	if w.sse == nil {
-		return // the frame answers with the problem itself
+		return // Entry.finish writes the problem as the response
 	}
 	p.Request = w.r.id
 	if data, err := json.Marshal(p); err == nil {
--- a/pkg/outcome/outcome_test.go
+++ b/pkg/outcome/outcome_test.go
@@ -7,19 +7,19 @@
 func TestWordFollowsFacts(t *testing.T) {
 	cases := []struct {
 		description string
-		mark        func(*Facts)
-		want        Word
+		mark        func(*Tracker)
+		want        Outcome
 	}{
-		{"nothing was dispatched", func(*Facts) {}, NotRun},
-		{"handed, no answer", func(f *Facts) { f.MarkHanded() }, Unknown},
-		{"handed on one attempt of two", func(f *Facts) { f.MarkHanded(); f.MarkHanded() }, Unknown},
-		{"answered whole", func(f *Facts) { f.MarkHanded(); f.MarkAnswered() }, Ran},
+		{"nothing was dispatched", func(*Tracker) {}, NotRun},
+		{"handed, no answer", func(f *Tracker) { f.MarkSending() }, Unknown},
+		{"handed on one attempt of two", func(f *Tracker) { f.MarkSending(); f.MarkSending() }, Unknown},
+		{"answered whole", func(f *Tracker) { f.MarkSending(); f.MarkAnswered() }, Ran},
 	}
 	for _, c := range cases {
 		t.Run(c.description, func(t *testing.T) {
-			var f Facts
+			var f Tracker
 			c.mark(&f)
-			if got := f.Word(); got != c.want {
+			if got := f.Outcome(); got != c.want {
 				t.Errorf("got %s, want %s", got, c.want)
 			}
 		})
--- a/pkg/upstream/stream.go
+++ b/pkg/upstream/stream.go
@@ -31,7 +31,7 @@
 	// Urgent asks the engine to start it before others.
 	Urgent bool
 	// Idle bounds the wait for the head and for each event.
-	Idle time.Duration
+	IdleTimeout time.Duration
 }
 
 // Event is one part of a streamed answer.
@@ -46,15 +46,15 @@
 
 // Stream is an answer being read. Close must be called.
 type Stream struct {
-	address string
-	id      string
-	reader  *sse.Reader
-	resp    *protocol.Response
-	end     func()
-	cancel  context.CancelCauseFunc
-	idle    time.Duration
-	timer   *time.Timer
-	ctx     context.Context
+	address     string
+	id          string
+	reader      *sse.Reader
+	resp        *protocol.Response
+	closeCall   func()
+	cancel      context.CancelCauseFunc
+	idleTimeout time.Duration
+	idleTimer   *time.Timer
+	ctx         context.Context
 	// Load is what the engine reported with the answer's head; negative for none.
 	Load float64
 	// Incarnation tells the engine's process from others; empty if it does not say.
@@ -63,27 +63,27 @@
 
 // Open sends a request to an engine and reads the answer's head. Errors:
 // *CallError.
-func Open(ctx context.Context, address string, r StreamRequest, facts *outcome.Facts) (*Stream, error) {
+func Open(ctx context.Context, address string, r StreamRequest, tracker *outcome.Tracker) (*Stream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	s := &Stream{address: address, id: r.ID, cancel: cancel, idle: r.Idle, ctx: ctx}
+	s := &Stream{address: address, id: r.ID, cancel: cancel, idleTimeout: r.IdleTimeout, ctx: ctx}
 	// An engine that falls silent holds an open connection for good. The timer
 	// is set anew at each event; when it fires the connection is closed.
-	s.timer = time.AfterFunc(r.Idle, func() { cancel(ErrSilent) })
-	if err := s.open(ctx, r, facts); err != nil {
+	s.idleTimer = time.AfterFunc(r.IdleTimeout, func() { cancel(ErrIdleTimeout) })
+	if err := s.open(ctx, r, tracker); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *Stream) open(ctx context.Context, r StreamRequest, facts *outcome.Facts) error {
+func (s *Stream) open(ctx context.Context, r StreamRequest, tracker *outcome.Tracker) error {
 	req := protocol.AcquireRequest()
 	defer protocol.ReleaseRequest(req)
 	s.resp = protocol.AcquireResponse()
 	fillRequest(req, s.address, r)
-	opts := httpcall.Options{Address: s.address, OnHanded: facts.MarkHanded, Stream: true}
-	end, err := httpcall.Call(ctx, opts, req, s.resp)
-	s.end = end
+	opts := httpcall.Options{Address: s.address, OnHanded: tracker.MarkSending, Stream: true}
+	closeCall, err := httpcall.Call(ctx, opts, req, s.resp)
+	s.closeCall = closeCall
 	if err != nil {
 		return callError(s.address, err)
 	}
@@ -118,11 +118,11 @@
 	status := s.resp.StatusCode()
 	switch {
 	case status == consts.StatusGone:
-		return &CallError{Step: "status", Peer: s.address, Status: status, Err: ErrGone}
+		return &CallError{Step: "status", Peer: s.address, Status: status, Err: ErrUnknownRequest}
 	case status != consts.StatusOK:
 		return &CallError{Step: "status", Peer: s.address, Status: status, Err: fmt.Errorf("status %d", status)}
 	case s.resp.Header.Get(chat.HeaderRequestID) != s.id:
-		return &CallError{Step: "status", Peer: s.address, Status: status, Err: ErrMismatch}
+		return &CallError{Step: "status", Peer: s.address, Status: status, Err: ErrRequestIDMismatch}
 	}
 	return nil
 }
@@ -131,7 +131,7 @@
 // a short answer. Errors: *CallError, which wraps ErrCut, ErrSilent, ErrMismatch
 // or the context's cause.
 func (s *Stream) Next() (Event, error) {
-	s.timer.Reset(s.idle)
+	s.idleTimer.Reset(s.idleTimeout)
 	event := sse.NewEvent()
 	defer event.Release()
 	if err := s.reader.Read(event); err != nil {
@@ -141,11 +141,11 @@
 		return Event{End: true}, nil
 	}
 	out := Event{}
-	if err := decode(event.Data, &out.Response); err != nil {
+	if err := decodeAnswer(event.Data, &out.Response); err != nil {
 		return Event{}, s.streamError(err)
 	}
 	if out.Response.ID != s.id {
-		return Event{}, s.streamError(ErrMismatch)
+		return Event{}, s.streamError(ErrRequestIDMismatch)
 	}
 	out.Offset, _ = strconv.ParseInt(event.ID, 10, 64)
 	return out, nil
@@ -156,9 +156,9 @@
 		return s.streamError(context.Cause(s.ctx))
 	}
 	if err == io.EOF {
-		return s.streamError(ErrCut)
+		return s.streamError(ErrTruncated)
 	}
-	return s.streamError(fmt.Errorf("%w: %w", ErrCut, err))
+	return s.streamError(fmt.Errorf("%w: %w", ErrTruncated, err))
 }
 
 func (s *Stream) streamError(err error) error {
@@ -167,14 +167,14 @@
 
 // Close ends the call and its connection.
 func (s *Stream) Close() {
-	s.timer.Stop()
+	s.idleTimer.Stop()
 	s.cancel(context.Canceled)
-	if s.end != nil {
-		s.end()
+	if s.closeCall != nil {
+		s.closeCall()
 	}
 }
 
-func decode(data []byte, into any) error {
+func decodeAnswer(data []byte, into any) error {
 	if err := json.Unmarshal(data, into); err != nil {
 		return fmt.Errorf("decode answer: %w", err)
 	}
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -20,13 +20,13 @@
 var (
 	// ErrMismatch means that the answer carries another request's id. It is
 	// discarded with its connection.
-	ErrMismatch = errors.New("answer carries another request's id")
+	ErrRequestIDMismatch = errors.New("answer carries another request's id")
 	// ErrGone means that the engine does not know the request any more.
-	ErrGone = errors.New("upstream does not know the request")
+	ErrUnknownRequest = errors.New("upstream does not know the request")
 	// ErrCut means that a stream ended without its end mark.
-	ErrCut = errors.New("stream ended without its end mark")
+	ErrTruncated = errors.New("stream ended without its end mark")
 	// ErrSilent means that nothing came for the bound.
-	ErrSilent = errors.New("upstream fell silent")
+	ErrIdleTimeout = errors.New("upstream fell silent")
 )
 
 // CallError tells at which step and upstream a call failed.
@@ -79,7 +79,7 @@
 
 // CallPlain calls a plain service. Facts are marked before the first byte
 // leaves. Errors: *CallError.
-func CallPlain(ctx context.Context, address string, r PlainRequest, facts *outcome.Facts) (*PlainAnswer, error) {
+func CallPlain(ctx context.Context, address string, r PlainRequest, tracker *outcome.Tracker) (*PlainAnswer, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
@@ -97,14 +97,14 @@
 	if r.IdempotencyKey != "" {
 		req.Header.Set(chat.HeaderIdempotencyKey, r.IdempotencyKey)
 	}
-	opts := httpcall.Options{Address: address, OnHanded: facts.MarkHanded, MaxResponseBytes: maxAnswerBytes}
-	end, err := httpcall.Call(ctx, opts, req, resp)
-	defer end()
+	opts := httpcall.Options{Address: address, OnHanded: tracker.MarkSending, MaxResponseBytes: maxAnswerBytes}
+	closeCall, err := httpcall.Call(ctx, opts, req, resp)
+	defer closeCall()
 	if err != nil {
 		return nil, callError(address, err)
 	}
 	if resp.Header.Get(chat.HeaderRequestID) != r.ID {
-		return nil, &CallError{Step: "exchange", Peer: address, Status: resp.StatusCode(), Err: ErrMismatch}
+		return nil, &CallError{Step: "exchange", Peer: address, Status: resp.StatusCode(), Err: ErrRequestIDMismatch}
 	}
 	return &PlainAnswer{
 		Status:      resp.StatusCode(),
@@ -134,8 +134,8 @@
 	defer protocol.ReleaseResponse(resp)
 	req.SetMethod(consts.MethodGet)
 	req.SetRequestURI("http://" + address + "/load")
-	end, err := httpcall.Call(ctx, httpcall.Options{Address: address, MaxResponseBytes: maxEventBytes}, req, resp)
-	defer end()
+	closeCall, err := httpcall.Call(ctx, httpcall.Options{Address: address, MaxResponseBytes: maxEventBytes}, req, resp)
+	defer closeCall()
 	if err != nil {
 		return 0, callError(address, err)
 	}
@@ -157,8 +157,8 @@
 	defer protocol.ReleaseResponse(resp)
 	req.SetMethod(consts.MethodOptions)
 	req.SetRequestURI("http://" + address + "/")
-	end, err := httpcall.Call(ctx, httpcall.Options{Address: address, MaxResponseBytes: maxEventBytes}, req, resp)
-	defer end()
+	closeCall, err := httpcall.Call(ctx, httpcall.Options{Address: address, MaxResponseBytes: maxEventBytes}, req, resp)
+	defer closeCall()
 	if err != nil {
 		return "", callError(address, err)
 	}
@@ -174,16 +174,16 @@
 	req.SetMethod(consts.MethodPost)
 	req.SetRequestURI("http://" + address + "/cancel/" + id)
 	opts := httpcall.Options{Address: address, MaxResponseBytes: maxEventBytes}
-	end, err := httpcall.Call(ctx, opts, req, resp)
-	defer end()
+	closeCall, err := httpcall.Call(ctx, opts, req, resp)
+	defer closeCall()
 	if err != nil {
 		return chat.Usage{}, callError(address, err)
 	}
 	if resp.StatusCode() == consts.StatusNotFound {
-		return chat.Usage{}, &CallError{Step: "cancel", Peer: address, Status: resp.StatusCode(), Err: ErrGone}
+		return chat.Usage{}, &CallError{Step: "cancel", Peer: address, Status: resp.StatusCode(), Err: ErrUnknownRequest}
 	}
 	var usage chat.Usage
-	if err := decode(resp.Body(), &usage); err != nil {
+	if err := decodeAnswer(resp.Body(), &usage); err != nil {
 		return chat.Usage{}, &CallError{Step: "cancel", Peer: address, Status: resp.StatusCode(), Err: err}
 	}
 	return usage, nil
