--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -17,17 +17,18 @@
 	"github.com/lavenderring/lavenderring/pkg/store/storefake"
 )
 
-// Callers press again and again, at several instances at once, while writes meet
-// conflicts, lose their answers, or meet an outage. Whatever happens, at most
-// one request of a key is told to run, and once an outcome is recorded every
-// later press finds that one.
+// Clients send requests under the same keys again and again, at several instances
+// at once, while writes meet conflicts, lose their answers, or meet an outage. At
+// most one request of a key acquires it, and once an outcome is recorded every
+// later request finds that one.
 func TestAtMostOneRequestOfAKeyRuns(t *testing.T) {
 	checkClaims(t, 60, false)
 }
 
-// A job runs twice: its key was claimed, the store came back from a copy that is older than the
-// claim, and a retry claimed it anew. Proof: whoever claimed brings the claim back, and a key that
-// the store lacks is free only once all living instances have done so.
+// Guards against a request that runs twice: its key was claimed, the store was restored from a copy
+// that is older than the claim, and a retry claimed the key again. The instance that claimed the key
+// must restore the claim, and a key that the store lacks must be free only once all live instances
+// have restored theirs.
 func TestAtMostOneRequestOfAKeyRunsWhenTheStoreGoesBack(t *testing.T) {
 	checkClaims(t, 300, true)
 }
@@ -45,13 +46,13 @@
 	properties.TestingRun(t)
 }
 
-// others are the other instances of a history.
+// fixedFleet lists the other instances of a history; none of them ever goes.
 type fixedFleet []string
 
 // Others implements Fleet.
 func (o fixedFleet) Others() []string { return o }
 
-// presses is how often the callers of one history press.
+// numRequests is the number of requests in one history.
 const numRequests = 60
 
 func claimHistory(t *testing.T, seed uint64, restores bool) string {
@@ -59,7 +60,7 @@
 	store := storefake.New(seed)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	defer time.Sleep(2 * maxReportDelay) // what was begun ends
+	defer time.Sleep(2 * maxReportDelay) // operations in progress end
 	var claimers []*Claimer
 	names := fixedFleet{"a", "b", "c"}
 	for n, name := range names {
@@ -81,14 +82,14 @@
 		case err != nil:
 			c.Release(ctx, key, request)
 		case acquired && ran[key] != "" && ran[key] != request:
-			return fmt.Sprintf("%s ran for %s, and %s too", ran[key], key, request)
+			return fmt.Sprintf("both %s and %s ran under key %s", ran[key], request, key)
 		case acquired:
 			ran[key] = request
 			if rng.IntN(2) == 0 {
 				c.Finish(ctx, key, request, outcome.Ran, &Answer{Status: 200, Body: []byte(request)})
 			}
 		case existing.Outcome == outcome.Ran && string(existing.Answer.Body) != ran[key]:
-			return fmt.Sprintf("the answer of %s is recorded, %s ran", existing.Answer.Body, ran[key])
+			return fmt.Sprintf("the answer of %s is recorded, but %s ran", existing.Answer.Body, ran[key])
 		}
 		return ""
 	}
@@ -107,9 +108,9 @@
 	return ""
 }
 
-// A claim's answer is too large for its shard's value. The fact that its request
-// ran is kept and the answer is left out, the oldest first: forgetting the claim
-// would let the request run again.
+// The answers of a shard's claims are too large for the shard's value. Answers are
+// left out, the oldest first, and the fact that their requests ran is kept:
+// removing a claim would let its request run again.
 func TestFullShardForgetsAnswersNotClaims(t *testing.T) {
 	s, err := decodeShard(nil)
 	if err != nil {
@@ -124,15 +125,15 @@
 	}
 	value, fits, err := s.encode()
 	if err != nil || !fits || len(value) > maxShardBytes {
-		t.Fatalf("%d bytes, fits %v, %v", len(value), fits, err)
+		t.Fatalf("encode: %d bytes, fits = %v, err = %v", len(value), fits, err)
 	}
 	if len(s.Claims) != claims || !s.Claims["0"].Answer.Omitted || s.Claims["199"].Answer.Omitted {
-		t.Error("the wrong answers were left out")
+		t.Error("claims were removed, or other answers than the oldest were left out")
 	}
 }
 
-// A day passes. Finished claims go, so that shards do not grow for ever; one
-// without an outcome stays, since nobody knows whether its request ran.
+// Finished claims are removed after Retention, so that shards do not grow without
+// bound; a claim without an outcome is kept, as its request may have run.
 func TestPruneKeepsTheUnknown(t *testing.T) {
 	s, err := decodeShard(nil)
 	if err != nil {
@@ -144,6 +145,6 @@
 	s.acquire("open", Claim{Request: "2", AtMillis: now.UnixMilli()})
 	s.prune(now.Add(Retention + time.Second))
 	if s.Claims["done"] != nil || s.Claims["open"] == nil {
-		t.Errorf("left: %v", s.Claims)
+		t.Errorf("claims after prune: %v", s.Claims)
 	}
 }
--- a/pkg/claim/claimer.go
+++ b/pkg/claim/claimer.go
@@ -14,47 +14,50 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Sizes of the claiming duty.
+// Limits of the group writes.
 const (
-	// queueLength bounds the operations that wait for one shard's next write.
+	// maxQueuedOperations bounds the operations that wait for one shard's next write.
 	maxQueuedOperations = 1024
 	// writeTimeout bounds one group's write, its retries included.
 	writeTimeout = 5 * time.Second
-	// finishRetryPause is the pause before an outcome is written again.
+	// backgroundRetryInterval is the wait before the write of an outcome or release is retried.
 	backgroundRetryInterval = time.Second
 )
 
-// ErrBusy refuses an operation because too many wait.
-var ErrBusy = errors.New("claim: too many operations wait")
+// ErrBusy means that an operation was refused because its shard's queue is full.
+var ErrBusy = errors.New("claim: too many operations are waiting for their shard")
 
-// Key returns the form in which a caller's key is kept: nobody who reads the
-// store learns the key, and two accounts' equal keys stay apart.
+// Key returns the hash under which a client's idempotency key is stored: a
+// reader of the store does not learn the key, and equal keys of two client
+// accounts are kept apart.
 func Key(budget, idempotencyKey string) string {
 	sum := sha256.Sum256([]byte(budget + "\x00" + idempotencyKey))
 	return hex.EncodeToString(sum[:16])
 }
 
-// operation is one change of a shard that waits for the next group write.
+// operation is a change of a shard that waits for the next group write.
 type operation struct {
 	apply func(*Shard)
 	done  chan error
 }
 
-// Claimer claims keys and records outcomes. Operations on one shard that come
-// together are committed by one write. It is safe for concurrent use.
+// Claimer claims keys and records outcomes. Operations that wait for the same
+// shard are committed by one write. It is safe for concurrent use.
 type Claimer struct {
 	self   string
 	store  store.Lister
 	fleet  Fleet
 	queues []*ring.Ring[operation]
-	// seen are the recent claims of each shard; touched by its goroutine only.
+	// recentClaims holds the recent claims of each shard. An element is used only
+	// by the goroutine that runs its shard.
 	recentClaims []map[string]*Claim
 	now          func() time.Time
 
 	backgroundOps sync.WaitGroup
 }
 
-// NewClaimer returns the claimer of an incarnation over so many shards; Run must be called.
+// NewClaimer returns the Claimer of the incarnation self over a number of shards.
+// Its operations are committed only while Run is running.
 func NewClaimer(self string, store store.Lister, fleet Fleet, shards int, now func() time.Time) *Claimer {
 	c := &Claimer{self: self, store: store, fleet: fleet, recentClaims: make([]map[string]*Claim, shards), now: now}
 	for i := 0; i < shards; i++ {
@@ -63,7 +66,7 @@
 	return c
 }
 
-// Run commits operations until ctx ends; one goroutine a shard.
+// Run commits operations until ctx ends, with one goroutine for each shard.
 func (c *Claimer) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for shard, queue := range c.queues {
@@ -83,7 +86,8 @@
 	}
 }
 
-// gather takes everything that waits, so that one write carries it all.
+// collectWaiting returns first and all operations that are waiting in the queue,
+// so that one write commits them.
 func collectWaiting(first operation, queue *ring.Ring[operation]) []operation {
 	group := []operation{first}
 	for len(group) < maxQueuedOperations {
@@ -97,6 +101,8 @@
 	return group
 }
 
+// commit applies a group of operations to a shard by one write. In an unsettled
+// shard it restores this instance's recent claims first.
 func (c *Claimer) commit(ctx context.Context, shard int, group []operation) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -134,6 +140,8 @@
 	}
 }
 
+// apply queues an operation on the shard of a key and waits until it is committed.
+// After an error the operation may or may not have been committed.
 func (c *Claimer) apply(ctx context.Context, key string, apply func(*Shard)) error {
 	op := operation{apply: apply, done: make(chan error, 1)}
 	if !c.queues[shardOf(key, len(c.queues))].TryPut(op) {
@@ -147,10 +155,11 @@
 	}
 }
 
-// Take claims a key before dispatch. It returns the standing claim and whether
-// it is the taker's own. After an error nothing is known about the claim, the
-// request must not be dispatched, and the caller releases it. With ErrUnsettled an earlier request
-// under the key may have run.
+// Acquire claims a key before its request is dispatched. It returns the claim that
+// the key has now, and whether that is the request's own. After an error it is not
+// known whether the key was claimed: the request must not be dispatched, and the
+// claim must be released. ErrUnsettled means that an earlier request under the key
+// may have run.
 func (c *Claimer) Acquire(ctx context.Context, key string, claim Claim) (Claim, bool, error) {
 	for {
 		r, err := c.tryAcquire(ctx, key, claim)
@@ -183,11 +192,12 @@
 type acquireResult struct {
 	claim    Claim
 	acquired bool
-	// unsettled says that the key may have been claimed before the store went back.
+	// unsettled is set if the key may have been claimed before the store was restored.
 	unsettled bool
 }
 
-// replace keeps the newest result: an update that met a conflict runs again.
+// replaceResult keeps only the newest result: an update that met a write conflict
+// applies its operations again.
 func replaceResult(result chan acquireResult, r acquireResult) {
 	select {
 	case <-result:
@@ -196,8 +206,8 @@
 	result <- r
 }
 
-// Read returns the claim that stands for a key; nil if there is none. ErrUnsettled means that there
-// may be one that the store has lost.
+// Read returns the claim of a key; nil if there is none. ErrUnsettled means that
+// the key may have a claim that the store has lost.
 func (c *Claimer) Read(ctx context.Context, key string) (*Claim, error) {
 	object, err := store.ReadEraObject(ctx, c.store, shardKey(shardOf(key, len(c.queues))))
 	if err != nil {
@@ -214,8 +224,8 @@
 	return shard.Claims[key], nil
 }
 
-// Finish records a request's outcome in the background, again and again until
-// it is written or ctx ends.
+// Finish records a request's outcome in the background. It retries until the
+// outcome is written or ctx ends.
 func (c *Claimer) Finish(ctx context.Context, key, request string, result outcome.Outcome, answer *Answer) {
 	if answer != nil && len(answer.Body) > MaxAnswerBytes {
 		answer = &Answer{Status: answer.Status, ContentType: answer.ContentType, Omitted: true}
@@ -223,7 +233,8 @@
 	c.applyInBackground(ctx, key, func(s *Shard) { s.finish(key, request, result, answer, c.now()) })
 }
 
-// Release gives a key back in the background whose request did not run.
+// Release frees a key whose request did not run, in the background. It retries
+// until the release is written or ctx ends.
 func (c *Claimer) Release(ctx context.Context, key, request string) {
 	c.applyInBackground(ctx, key, func(s *Shard) { s.release(key, request) })
 }
@@ -238,7 +249,7 @@
 	}()
 }
 
-// Flush waits until every outcome is recorded, or ctx ends.
+// Flush waits until every outcome and release is written, or ctx ends.
 func (c *Claimer) Flush(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
--- a/pkg/claim/recovery.go
+++ b/pkg/claim/recovery.go
@@ -8,39 +8,42 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// The store may come back from a copy of itself that is some seconds old. Claims of these seconds
-// are missing in the copy, and a retry would claim its key anew and run a second time. Each instance
-// brings back the claims that it has seen lately; until all living ones have done so the shard is
-// *unsettled*, and a key that it lacks is neither free nor claimed.
+// The store may be restored from a copy of itself that is some seconds old. The claims of these
+// seconds are missing in the copy, and a retry would claim its key again and run a second time. Each
+// instance therefore restores its recent claims. Until all live instances have done so the shard is
+// *unsettled*: a key that it lacks is neither free nor claimed.
 
-// ErrUnsettled means that it is not known whether a key was claimed before the store went back.
-var ErrUnsettled = errors.New("claim: not all instances have told what they claimed before the store went back")
+// ErrUnsettled means that it is not known whether a key was claimed before the store was restored.
+var ErrUnsettled = errors.New("claim: not all instances have reported their claims since the store was restored")
 
-// How claims are brought back.
+// Timing of the restoring of claims.
 const (
-	// rememberedFor is how long ago a claim was written that is remembered: a copy is some
-	// seconds old.
+	// recentClaimLifetime is how long after its last write a claim is remembered, to be restored: the
+	// copy from which the store is restored is some seconds old.
 	recentClaimLifetime = time.Minute
-	// tellSpread is the time over which an instance writes to its shards.
+	// maxReportDelay bounds the random delay before an instance writes its claims to a shard, so
+	// that the writes do not all start at once.
 	maxReportDelay = 300 * time.Millisecond
-	// unsettledPoll is the pause before a key is looked up again in an unsettled shard.
+	// unsettledPollInterval is the interval at which a key is looked up in an unsettled shard.
 	unsettledPollInterval = 100 * time.Millisecond
 )
 
-// Fleet tells of the other instances.
+// Fleet lists the other instances.
 type Fleet interface {
-	// Others returns the incarnations of the others that live.
+	// Others returns the incarnations of the other live instances.
 	Others() []string
 }
 
-// enterEra makes a shard, which was copied from an older era's object, the one of an era.
+// beginEra marks a shard that was read from an object of an older era as one of era: it becomes
+// unsettled, and no instance has reported its claims yet.
 func (s *Shard) beginEra(era store.Era) {
 	if era > store.FirstEra && s.Era != uint64(era) {
 		s.Era, s.Unsettled, s.ReportedBy = uint64(era), true, nil
 	}
 }
 
-// bringBack adds claims that the shard lacks, and the outcomes of those that it has without.
+// restore adds the recent claims that the shard lacks, and the outcomes of those that it has without
+// an outcome.
 func (s *Shard) restore(recent map[string]*Claim) {
 	for key, claim := range recent {
 		present := s.Claims[key]
@@ -50,7 +53,8 @@
 	}
 }
 
-// settle notes that an instance has told and, once all others have, lets keys be claimed again.
+// markReported records that the instance self has restored its claims. Once all others have too, the
+// shard is settled and keys that it lacks can be claimed.
 func (s *Shard) markReported(self string, others []string) {
 	if s.ReportedBy == nil {
 		s.ReportedBy = map[string]bool{}
@@ -64,7 +68,7 @@
 	s.Unsettled, s.ReportedBy = false, nil
 }
 
-// recent returns the claims that were written lately.
+// recentClaims returns the claims that were written within recentClaimLifetime.
 func (s *Shard) recentClaims(now time.Time) map[string]*Claim {
 	since := now.Add(-recentClaimLifetime).UnixMilli()
 	claims := map[string]*Claim{}
@@ -76,12 +80,13 @@
 	return claims
 }
 
-// NoteEra says that the store came back from a copy: every shard is told what this instance has seen.
+// NoteStoreRestored is called when the store was restored from an older copy: this instance writes its
+// recent claims to every shard.
 func (c *Claimer) NoteEra() {
 	for _, queue := range c.queues {
 		go func() {
 			time.Sleep(rand.N(maxReportDelay))
-			queue.TryPut(operation{apply: func(*Shard) {}, done: make(chan error, 1)}) // a full queue tells with what it holds
+			queue.TryPut(operation{apply: func(*Shard) {}, done: make(chan error, 1)}) // the operations in a full queue write the shard as well
 		}()
 	}
 }
--- a/pkg/claim/shard.go
+++ b/pkg/claim/shard.go
@@ -1,7 +1,8 @@
-// Package claim makes a request that may not be repeated run at most once: its
-// caller's idempotency key is claimed in the platform's store before dispatch,
-// and the outcome is recorded under the claim. A claim is never taken over, so
-// it does not matter how long its holder sleeps.
+// Package claim makes a non-idempotent request run at most once: its idempotency
+// key is claimed in the platform's store before the request is dispatched, and
+// the outcome is recorded in the claim. No instance takes over another's claim,
+// so a holder that is paused for any time stays the only one that may run the
+// request.
 package claim
 
 import (
@@ -15,33 +16,34 @@
 	"github.com/lavenderring/lavenderring/pkg/outcome"
 )
 
-// Prefix is above all claim shards.
+// Prefix is the prefix of the keys of all claim shards in the store.
 const Prefix = "claims/"
 
 // Bounds of a shard.
 const (
 	// Retention is how long a finished claim answers retries.
 	Retention = 24 * time.Hour
-	// MaxAnswerBytes bounds a recorded answer; of a larger one only the fact
-	// that the request ran is kept.
+	// MaxAnswerBytes bounds the body of a recorded answer; of a larger one only
+	// the fact that the request ran is kept.
 	MaxAnswerBytes = 8 << 10
-	// maxShardBytes keeps a shard below the platform's largest value.
+	// maxShardBytes keeps a shard below the size limit of the platform's values.
 	maxShardBytes = 900 << 10
 )
 
-// Claim is one key's claim.
+// Claim is the claim of one idempotency key.
 type Claim struct {
 	// Request is the id of the one request that may run.
 	Request string `json:"request"`
-	// Holder is the incarnation that runs it.
+	// Holder is the incarnation of the instance that runs it.
 	Holder string `json:"holder"`
-	// Fingerprint tells the request's content from another under the same key.
+	// Fingerprint is that of the request's content; it differs if the key is
+	// reused for another request.
 	Fingerprint string `json:"fingerprint"`
 	// Outcome is empty while the request runs.
 	Outcome outcome.Outcome `json:"outcome,omitempty"`
-	// Answer is what the request got, for retries.
+	// Answer is the request's answer, returned to retries.
 	Answer *Answer `json:"answer,omitempty"`
-	// AtMillis is when the claim was last written, since 1970.
+	// AtMillis is when the claim was last written, as Unix time in milliseconds.
 	AtMillis int64 `json:"at_millis"`
 }
 
@@ -50,28 +52,30 @@
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body,omitempty"`
-	// Omitted says that the body was too large to keep.
+	// Omitted is set if the body was left out because it or the shard was too
+	// large.
 	Omitted bool `json:"omitted,omitempty"`
 }
 
-// Shard is one claim object.
+// Shard is the content of one claim object in the store, encoded as JSON.
 type Shard struct {
 	Claims map[string]*Claim `json:"claims"`
-	// Era is the store's era that the object was made in, Unsettled says that claims of the
-	// seconds before may be missing still, Told which incarnations have told theirs.
+	// Era is the era of the store in which the shard was last marked unsettled.
+	// Unsettled is set while claims of the seconds before that era may be missing;
+	// ReportedBy then holds the incarnations that have restored their claims.
 	Era        uint64          `json:"era,omitempty"`
 	Unsettled  bool            `json:"unsettled,omitempty"`
 	ReportedBy map[string]bool `json:"told,omitempty"`
 }
 
-// FullError refuses a claim: the shard has no room for another.
+// FullError means that a claim was refused because its shard has no room for it.
 type FullError struct {
-	// Step is "claim"; Peer is the shard's key.
+	// Step is "claim"; Key is the shard's key in the store.
 	Step, Key string
 }
 
 // Error implements error.
-func (e *FullError) Error() string { return fmt.Sprintf("%s: %s is full", e.Step, e.Key) }
+func (e *FullError) Error() string { return fmt.Sprintf("%s: shard %s is full", e.Step, e.Key) }
 
 func decodeShard(value []byte) (*Shard, error) {
 	shard := &Shard{}
@@ -90,9 +94,9 @@
 
 func shardOf(key string, shards int) int { return int(xxhash.Sum64String(key) % uint64(shards)) }
 
-// take claims a key for a request, or returns the claim that stands. Finding
-// its own request there, the taker knows that an earlier write of its own took
-// effect although the answer was lost.
+// acquire claims a key for a request, or returns the existing claim. If that is
+// the request's own, an earlier write of the same claim took effect although its
+// answer was lost: the claim is acquired.
 func (s *Shard) acquire(key string, claim Claim) (existing *Claim, acquired bool) {
 	if present := s.Claims[key]; present != nil {
 		return present, present.Request == claim.Request
@@ -101,7 +105,7 @@
 	return &claim, true
 }
 
-// finish records an outcome, if the claim is the request's own.
+// finish records a request's outcome if the claim is the request's own.
 func (s *Shard) finish(key, request string, result outcome.Outcome, answer *Answer, at time.Time) {
 	c := s.Claims[key]
 	if c == nil || c.Request != request {
@@ -112,15 +116,15 @@
 	c.AtMillis = at.UnixMilli()
 }
 
-// release gives a key back whose request did not run.
+// release frees a key whose request did not run.
 func (s *Shard) release(key, request string) {
 	if c := s.Claims[key]; c != nil && c.Request == request && c.Outcome == "" {
 		delete(s.Claims, key)
 	}
 }
 
-// prune drops finished claims past their retention. Claims without an outcome
-// are kept: forgetting one would let its request run again.
+// prune removes finished claims that are older than Retention. Claims without an
+// outcome are kept: removing one would let its request run again.
 func (s *Shard) prune(now time.Time) {
 	for key, c := range s.Claims {
 		if c.Outcome != "" && now.Sub(time.UnixMilli(c.AtMillis)) > Retention {
@@ -129,8 +133,9 @@
 	}
 }
 
-// encode writes the shard, leaving out the oldest recorded answers, though not
-// the fact that their requests ran, if it would grow too large.
+// encode encodes the shard and reports whether it fits into maxShardBytes. If it
+// would not fit, the bodies of the oldest recorded answers are left out, though
+// not the fact that their requests ran.
 func (s *Shard) encode() ([]byte, bool, error) {
 	value, err := json.Marshal(s)
 	if err != nil || len(value) <= maxShardBytes {
@@ -141,6 +146,8 @@
 	return value, len(value) <= maxShardBytes, err
 }
 
+// omitOldestAnswers leaves out the oldest answers whose bodies sum up to at least
+// the given number of bytes.
 func (s *Shard) omitOldestAnswers(bytes int) {
 	var answered []*Claim
 	for _, c := range s.Claims {
