--- a/pkg/bill/bill_test.go
+++ b/pkg/bill/bill_test.go
@@ -15,7 +15,7 @@
 	"github.com/lavenderring/lavenderring/pkg/store/storefake"
 )
 
-// direct brings copies to one keeper, unless the message or its answer is lost.
+// lossyPeer sends copies to a keeper and loses some messages and some replies.
 type lossyPeer struct {
 	keeper *Keeper
 	rng    *rand.Rand
@@ -34,10 +34,11 @@
 	return reply, err
 }
 
-// An instance bills requests; its writes meet conflicts and lost answers, copies
-// are lost and resent, and its keeper thinks it dead, sometimes wrongly, and
-// writes what it has while the instance goes on. Every bill lands once: bills
-// are told apart by number, and a segment's name is taken by one writer.
+// Guards against lost and duplicate bills. An instance bills requests; its writes
+// meet conflicts and lost answers, copies are lost and resent, and its keeper
+// takes it for crashed, sometimes wrongly, and writes its copies while the
+// instance continues. Every bill must be stored once: records are recognized by
+// their number, and only one writer can create a segment of a name.
 func TestEachRequestIsBilledOnce(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(6)
 	parameters.MinSuccessfulTests = 300
@@ -82,7 +83,9 @@
 	return finishHistory(ctx, store, keeper, j, rng.IntN(2) == 0, billed)
 }
 
-// finishHistory ends with the instance alive, or dead with a copy at its keeper.
+// finishHistory ends a history: the instance writes its records or, if it crashes,
+// its keeper writes the copies. It returns what is wrong with the bills; "" if
+// nothing is.
 func finishHistory(ctx context.Context, store *storefake.Store, keeper *Keeper, j *Journal, crashes bool, billed int) string {
 	store.SetFaults(false, 0)
 	store.SetBetween(0, nil)
@@ -104,13 +107,13 @@
 		return fmt.Sprintf("billed twice: %v", statement.Doubles)
 	}
 	if len(statement.Bills) != billed {
-		return fmt.Sprintf("%d requests were billed, %d bills stand (instance died: %v)", billed, len(statement.Bills), crashes)
+		return fmt.Sprintf("%d requests were billed, %d bills are stored (instance crashed: %v)", billed, len(statement.Bills), crashes)
 	}
 	return ""
 }
 
-// The store has been away for long and then the peer is replaced: the new one
-// needs copies of more records than one message may hold. They come in parts.
+// After a long outage of the store the peer is replaced. The new peer needs copies
+// of more records than one message may hold, and must get them in several.
 func TestLongBacklogIsCopiedInParts(t *testing.T) {
 	store := storefake.New(1)
 	store.SetFaults(true, 0)
@@ -134,7 +137,7 @@
 	}
 }
 
-// sizes notes the largest message to a keeper.
+// sizeRecorder records the number of records in the largest message to a keeper.
 type sizeRecorder struct {
 	keeper  *Keeper
 	largest *int
--- a/pkg/bill/journal.go
+++ b/pkg/bill/journal.go
@@ -1,8 +1,8 @@
 // Package bill makes each request's bill durable exactly once. A bill is keyed
 // by its request's id. The instance that served the request numbers its records,
-// keeps a copy with a peer in another failure domain, and writes them in batches
-// as segments, objects that are created once and never changed. If the instance
-// dies the peer writes the rest under the same names.
+// copies them to a peer in another failure domain, and writes them in batches as
+// segments, objects that are created once and never changed. If the instance
+// crashes, the peer writes the remaining records as segments of the same names.
 package bill
 
 import (
@@ -19,32 +19,33 @@
 
 // Outcomes of a record.
 const (
-	// OutcomeOpen is a request under way; tokens is its bound.
+	// OutcomeOpen is that of a request in progress; its tokens are the maximum
+	// that it may cost.
 	OutcomeOpen = "open"
-	// OutcomeRan is a request that was answered whole.
+	// OutcomeRan is that of a request that was answered whole.
 	OutcomeRan = "ran"
-	// OutcomeUnknown is a request without a whole answer; tokens is what the
-	// upstream said it cost, or the bound if it could not say.
+	// OutcomeUnknown is that of a request without a whole answer; its tokens are
+	// the cost that the upstream reported, or the maximum if it reported none.
 	OutcomeUnknown = "unknown"
 )
 
-// Prefix is above all segments.
+// Prefix is the prefix of the keys of all segments in the store.
 const Prefix = Kind + "/"
 
 // Kind is the kind of the segments in the store.
 const Kind = "bills"
 
-// maxPending bounds the records that wait for the store. Beyond it new requests
-// are refused: a bill is never dropped.
+// maxPendingRecords bounds the records that are not in the store yet. When it is
+// reached new requests are refused, because a bill is never dropped.
 const maxPendingRecords = 200_000
 
-// Segment is a batch of one incarnation's records.
+// Segment is a batch of one incarnation's records, stored as a JSON object.
 type Segment struct {
 	Incarnation string           `json:"incarnation"`
 	Records     []*billpb.Record `json:"records"`
 }
 
-// Peers carries records to another instance.
+// Peers sends records to another instance, which keeps copies of them.
 type Peers interface {
 	Keep(ctx context.Context, to string, req *billpb.KeepRequest) (*billpb.KeepReply, error)
 }
@@ -62,16 +63,17 @@
 	pending     []*billpb.Record
 	openRecords map[string]*billpb.Record
 	durableSeq  uint64
-	keptSeq     map[string]uint64 // by peer
+	keptSeq     map[string]uint64 // the highest number that has a copy, by peer
 	nextSegment uint64
 	flushMu     sync.Mutex
-	// copying is held by the one copy at a time; those that wait for it find
-	// their records copied with the ones before.
+	// copyMu allows one copy at a time. A request that waited for it usually
+	// finds its record copied together with earlier ones.
 	copyMu       sync.Mutex
 	copyFailedAt time.Time
 }
 
-// NewJournal returns an empty journal; peer names whom to keep copies with.
+// NewJournal returns an empty journal; peer returns the instance that keeps the
+// copies now, or "" if there is none.
 func NewJournal(self string, target store.Store, peers Peers, peer func() string) *Journal {
 	return &Journal{
 		self:        self,
@@ -83,32 +85,36 @@
 	}
 }
 
-// Full reports that no more requests may be taken until the store is back.
+// Full reports whether new requests must be refused because too many records wait
+// for the store.
 func (j *Journal) Full() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.pending) >= maxPendingRecords
 }
 
-// Open records that a request is about to be dispatched with a bound in tokens.
+// Open records that a request, which may cost up to maxTokens, is about to be
+// dispatched.
 func (j *Journal) Open(request, budget string, maxTokens int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.openRecords[request] = j.appendRecord(request, budget, maxTokens, OutcomeOpen)
 }
 
-// Bounds of securing a record.
+// Timing of waiting for a record's copy.
 const (
-	// secureTimeout bounds the wait of one request for its record's copy.
+	// copyWaitTimeout bounds the wait of one request for its record's copy.
 	copyWaitTimeout = 300 * time.Millisecond
-	// secureAgainAfter is how long after a copy that failed nobody waits for one.
+	// copyRetryInterval is how long after a failed copy no request waits for
+	// another one.
 	copyRetryInterval = time.Second
 )
 
-// Secure waits until every record so far has a copy, so that a request that is
-// about to be dispatched leaves a trace even if this instance dies at once. It
-// gives up after a short while: with the peer out of reach the records are lost
-// only if this instance dies too before they are in the store.
+// WaitForCopy waits until every record so far has a copy or is in the store, so
+// that a request that is about to be dispatched is on record even if this
+// instance crashes at once. It gives up after copyWaitTimeout: while the peer is
+// unreachable, records are lost only if this instance also crashes before they
+// are in the store.
 func (j *Journal) WaitForCopy(ctx context.Context) {
 	j.mu.Lock()
 	upTo := j.seq
@@ -125,14 +131,16 @@
 	}
 }
 
+// hasCopy reports whether every record up to upTo is in the store or has a copy at
+// the current peer.
 func (j *Journal) hasCopy(upTo uint64) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.durableSeq >= upTo || j.keptSeq[j.currentPeer()] >= upTo
 }
 
-// Settle records a request's bill. Settling a request that is not open changes
-// nothing, so no request is billed twice.
+// Settle records a request's bill. It does nothing if the request is not open, so
+// no request is billed twice.
 func (j *Journal) Settle(request string, tokens int64, outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -144,6 +152,7 @@
 	j.appendRecord(request, opened.Budget, tokens, outcome)
 }
 
+// appendRecord appends a record to the pending ones; j.mu is held.
 func (j *Journal) appendRecord(request, budget string, tokens int64, outcome string) *billpb.Record {
 	j.seq++
 	record := &billpb.Record{
@@ -158,13 +167,15 @@
 	return record
 }
 
-// Copy brings new records to the peer.
+// Copy sends the records that the current peer lacks to it, at most
+// maxCopyRecords of them.
 func (j *Journal) Copy(ctx context.Context) error {
 	j.copyMu.Lock()
 	defer j.copyMu.Unlock()
 	return j.copyLocked(ctx)
 }
 
+// copyLocked is Copy; j.copyMu is held.
 func (j *Journal) copyLocked(ctx context.Context) error {
 	peer := j.currentPeer()
 	if peer == "" {
@@ -183,6 +194,8 @@
 	return nil
 }
 
+// nextKeepRequest returns the next message to the peer and the number of the last
+// record that it covers; nil if the peer has all records.
 func (j *Journal) nextKeepRequest(peer string) (*billpb.KeepRequest, uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -207,12 +220,13 @@
 	return req, upTo
 }
 
-// maxCopyRecords bounds one message to the peer: after a long outage of the store
-// a new peer needs copies of everything that is pending, more than one may hold.
+// maxCopyRecords bounds the records in one message to the peer: after a long
+// outage of the store a new peer needs copies of all pending records, more than
+// fit into one message.
 const maxCopyRecords = 4000
 
-// Flush writes all pending records to the store. Records of requests under way
-// are written as they are: their bills follow.
+// Flush writes all pending records to the store, also the open records of
+// requests in progress, whose bills follow later.
 func (j *Journal) Flush(ctx context.Context) error {
 	j.flushMu.Lock()
 	defer j.flushMu.Unlock()
@@ -231,8 +245,8 @@
 	return err
 }
 
-// drop forgets the records that were written; they lead the pending ones, and
-// the rest of the attempt follows them.
+// removeWritten removes from the pending records those of tried that were
+// written, which are the first ones: all but the last len(rest). j.mu is held.
 func (j *Journal) removeWritten(tried, rest []*billpb.Record) {
 	written := len(tried) - len(rest)
 	if written == 0 {
@@ -242,13 +256,15 @@
 	j.pending = append([]*billpb.Record(nil), j.pending[written:]...)
 }
 
-// maxSegmentRecords keeps a segment below the platform's largest value.
+// maxSegmentRecords keeps a segment below the size limit of the platform's values.
 const maxSegmentRecords = 4000
 
 // writeSegments creates segments from number next on until every record is in
-// one. It returns the number after the last and the records not written. A
-// number that is taken was written by this writer, with its answer lost, or by
-// the peer that thought it dead; either way the records in it are done with.
+// one. It returns the number after the last segment and the records that were not
+// written. If a segment exists already, either an earlier write of this writer
+// took effect although its answer was lost, or the other of the instance and its
+// peer wrote it, the peer because it took the instance for crashed; in both cases
+// the records in it are durable.
 func writeSegments(
 	ctx context.Context, target store.Store, incarnation string, next uint64, records []*billpb.Record,
 ) (uint64, []*billpb.Record, error) {
@@ -273,7 +289,9 @@
 	return fmt.Sprintf("%s%s/%08d", Prefix, incarnation, number)
 }
 
-// withoutStored settles a failed create by reading the segment back.
+// removeStored returns the records that are not in the segment at key, which it
+// reads after its creation failed with cause. If cause shows that nothing was
+// stored it returns cause.
 func removeStored(
 	ctx context.Context, target store.Store, key string, records []*billpb.Record, cause error,
 ) ([]*billpb.Record, error) {
--- a/pkg/bill/keeper.go
+++ b/pkg/bill/keeper.go
@@ -12,26 +12,27 @@
 // Keeper holds copies of other instances' records. It is safe for concurrent use.
 type Keeper struct {
 	store store.Store
-	// taking is held by the one takeover at a time.
+	// takeOverMu allows one takeover at a time.
 	takeOverMu sync.Mutex
 
 	mu     sync.Mutex
 	copies map[string]*recordCopies
 }
 
-// copies is what is kept of one incarnation.
+// recordCopies holds the copies of one incarnation's records, by sequence number,
+// and the number of its first segment that may hold them.
 type recordCopies struct {
 	nextSegment uint64
 	records     map[uint64]*billpb.Record
 }
 
-// NewKeeper returns a keeper without copies.
+// NewKeeper returns a Keeper without copies.
 func NewKeeper(target store.Store) *Keeper {
 	return &Keeper{store: target, copies: map[string]*recordCopies{}}
 }
 
-// Keep takes copies and drops those that are durable. A copy that comes twice
-// or late is one copy: its number says which.
+// Keep stores copies of records and removes those that are durable. A record that
+// is received twice or late is recognized by its sequence number.
 func (k *Keeper) Keep(_ context.Context, req *billpb.KeepRequest) (*billpb.KeepReply, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -54,8 +55,9 @@
 	return &billpb.KeepReply{Kept: kept}, nil
 }
 
-// TakeOver writes the records kept for incarnations that are silent. It may be
-// early: the segments' names make sure that each record lands once.
+// TakeOver writes the copies of the records of silent incarnations to the store.
+// An incarnation may be silent and still running: as both write segments of the
+// same names, each record is stored once.
 func (k *Keeper) TakeOver(ctx context.Context, silent func(incarnation string) bool) error {
 	if !k.takeOverMu.TryLock() {
 		return nil
@@ -70,12 +72,14 @@
 	return nil
 }
 
-// leftRecords is what a silent incarnation has not been known to write.
+// unwrittenRecords holds the records, in order, that a silent incarnation is not
+// known to have written.
 type unwrittenRecords struct {
 	nextSegment uint64
 	records     []*billpb.Record
 }
 
+// unwrittenOf returns the unwritten records of all silent incarnations.
 func (k *Keeper) unwrittenOf(silent func(string) bool) map[string]unwrittenRecords {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/pkg/bill/statement.go
+++ b/pkg/bill/statement.go
@@ -9,18 +9,20 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// Statement is what a set of segments says: by request, its bill.
+// Statement holds the bills and open requests of a set of segments.
 type Statement struct {
-	// Bills holds the settled requests by id.
+	// Bills holds the bills by request id.
 	Bills map[string]*billpb.Record
-	// Open holds requests that were dispatched and have no bill; their tokens
-	// are bounds. They are in doubt if their instance is gone.
+	// Open holds, by id, the requests that were dispatched and have no bill; their
+	// tokens are the maximum that they may cost. They are in doubt if their
+	// instance has crashed.
 	Open map[string]*billpb.Record
-	// Doubles lists requests with two bills; always empty unless a promise broke.
+	// DuplicateBills lists the requests with more than one bill; it is empty
+	// unless the exactly-once guarantee was violated.
 	Doubles []string
 }
 
-// ReadStatement reads segments.
+// ReadStatement decodes segments into a Statement.
 func ReadStatement(objects []store.Object) (*Statement, error) {
 	s := &Statement{Bills: map[string]*billpb.Record{}, Open: map[string]*billpb.Record{}}
 	for _, object := range objects {
