--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -1,48 +1,51 @@
-// Package outcome decides, in one place, what a caller is told about the fate
-// of its request: ran, not run, or unknown.
+// Package outcome determines the outcome that is reported to a client for its
+// request: ran, not run, or unknown.
 package outcome
 
 import "sync/atomic"
 
-// Word is the fate of a request as told to its caller.
+// Outcome is the outcome of a request as it is reported to its client.
 type Outcome string
 
-// The three words. No other word about a request's fate is ever sent.
+// The outcomes; no other value is ever sent.
 const (
-	// Ran means an upstream answered the request whole.
+	// Ran means that an upstream's whole answer was received.
 	Ran Outcome = "ran"
-	// NotRun means no byte of the request was handed to any upstream connection.
+	// NotRun means that no byte of the request was written to a connection to an
+	// upstream.
 	NotRun Outcome = "not-run"
-	// Unknown means a byte may have left and no whole answer came back.
+	// Unknown means that a byte may have been sent and no whole answer was
+	// received.
 	Unknown Outcome = "unknown"
 )
 
-// Facts records what has happened to one request, across all its attempts.
-// The zero value is a request that has not been dispatched. It is safe for
+// Tracker tracks what has happened to one request in all its attempts. The zero
+// value is that of a request that has not been dispatched. It is safe for
 // concurrent use.
 type Tracker struct {
 	maybeSent atomic.Bool
 	answered  atomic.Bool
 }
 
-// MarkHanded records that a connection to an upstream took the request.
-// It is called before the first byte is written, never after: a crash or a
-// lost connection between write and record would otherwise turn a request
-// that ran into a false "not-run".
-func (f *Tracker) MarkSending() { f.maybeSent.Store(true) }
+// MarkSending records that a connection to an upstream is about to send the
+// request. It is called before the first byte is written, never after: if the
+// process crashed or the connection were lost between the write and the call, a
+// request that ran would be reported as "not-run".
+func (t *Tracker) MarkSending() { t.maybeSent.Store(true) }
 
-// MarkAnswered records that an upstream's whole answer arrived.
-func (f *Tracker) MarkAnswered() { f.answered.Store(true) }
+// MarkAnswered records that an upstream's whole answer was received.
+func (t *Tracker) MarkAnswered() { t.answered.Store(true) }
 
-// Handed reports whether a byte may have left on any attempt.
-func (f *Tracker) MaybeSent() bool { return f.maybeSent.Load() }
+// MaybeSent reports whether a byte of the request may have been sent by any
+// attempt.
+func (t *Tracker) MaybeSent() bool { return t.maybeSent.Load() }
 
-// Word returns the outcome word that the facts support.
-func (f *Tracker) Outcome() Outcome {
-	if f.answered.Load() {
+// Outcome returns the outcome so far.
+func (t *Tracker) Outcome() Outcome {
+	if t.answered.Load() {
 		return Ran
 	}
-	if f.maybeSent.Load() {
+	if t.maybeSent.Load() {
 		return Unknown
 	}
 	return NotRun
--- a/pkg/outcome/outcome_test.go
+++ b/pkg/outcome/outcome_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// "Not run" is a promise: once a connection may have taken a byte it is never
-// said, whatever else happens.
+// NotRun is a guarantee to the client: it must never be reported once a
+// connection may have sent a byte.
 func TestWordFollowsFacts(t *testing.T) {
 	cases := []struct {
 		description string
