--- a/pkg/fingerprint/fingerprint.go
+++ b/pkg/fingerprint/fingerprint.go
@@ -1,4 +1,4 @@
-// Package fingerprint recognizes equal requests by a hash of what their callers sent.
+// Package fingerprint recognizes equal requests by a hash of their contents.
 package fingerprint
 
 import (
@@ -6,27 +6,27 @@
 	"encoding/hex"
 )
 
-// Size is the length of a fingerprint in bytes: half of a SHA-256 sum, for which nobody can
-// make two requests collide.
+// Size is the length of a fingerprint in bytes: half of a SHA-256 sum, long enough that making
+// two requests collide is not feasible.
 const Size = 16
 
-// Fingerprint is equal for equal requests.
+// Fingerprint is a hash of a request; equal requests have equal fingerprints.
 type Fingerprint [Size]byte
 
 // String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Content returns the fingerprint of a request's content, whoever sends it. The target is the
-// path with its query.
+// Content returns the fingerprint of a request's content, which is the same for all client
+// accounts. The target is the path with its query.
 func Content(method, target string, body []byte) Fingerprint {
 	digest := sha256.New()
-	_, _ = digest.Write([]byte(method + "\x00" + target + "\x00")) // a hash never fails
+	_, _ = digest.Write([]byte(method + "\x00" + target + "\x00")) // hash.Hash's Write never returns an error
 	_, _ = digest.Write(body)
 	return Fingerprint(digest.Sum(nil)[:Size])
 }
 
-// Of returns the fingerprint of content that a client account sends to a host or service. The
-// account is part of it: none can make its requests be taken for another's.
+// Of returns the fingerprint of content that a client account sends to a host or service. It
+// includes the account, so that no account's requests are taken for those of another.
 func Of(account, host string, content Fingerprint) Fingerprint {
 	digest := sha256.New()
 	_, _ = digest.Write([]byte(account + "\x00" + host + "\x00"))
--- a/pkg/fingerprint/fingerprint_test.go
+++ b/pkg/fingerprint/fingerprint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Requests that differ in any part are told apart, also where a byte moves from one part into
-// the next.
+// Requests that differ in any part must have different fingerprints, also if only a byte moves
+// from one part to the next.
 func TestDifferentRequestsDiffer(t *testing.T) {
 	seen := map[Fingerprint]string{}
 	for name, f := range map[string]Fingerprint{
@@ -16,12 +16,12 @@
 		"a moved byte":    Of("ah", "", Content("POST", "/x", []byte("body"))),
 	} {
 		if other, taken := seen[f]; taken {
-			t.Errorf("%s and %s are taken for equal", name, other)
+			t.Errorf("%s and %s have equal fingerprints", name, other)
 		}
 		seen[f] = name
 	}
 	again := Of("a", "h", Content("POST", "/x", []byte("body")))
 	if seen[again] != "one" {
-		t.Error("equal requests differ")
+		t.Error("equal requests have different fingerprints")
 	}
 }
