--- a/pkg/upstream/load_test.go
+++ b/pkg/upstream/load_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A load comes from outside; whatever it says, the choice of an upstream must
-// see a plain number or none.
+// Upstreams report their load as free text. Whatever they report, the choice of an
+// upstream must get a number that is neither negative nor NaN, or -1 for no load.
 func FuzzParseLoad(f *testing.F) {
 	for _, text := range []string{"", "1/2", "NaN/1", "-1/2", "1e309/0", "/", "1/2/3"} {
 		f.Add(text)
--- a/pkg/upstream/stream.go
+++ b/pkg/upstream/stream.go
@@ -24,27 +24,28 @@
 type StreamRequest struct {
 	ID   string
 	Body []byte
-	// Resume asks for the rest of a request that the engine has.
+	// Resume asks for the rest of the answer to a request that the engine knows.
 	Resume bool
-	// Offset is how many tokens the caller has.
+	// Offset is the number of tokens after which the answer is resumed.
 	Offset int64
-	// Urgent asks the engine to start it before others.
+	// Urgent asks the engine to start the request before others.
 	Urgent bool
-	// Idle bounds the wait for the head and for each event.
+	// IdleTimeout bounds the wait for the response header and for each event.
 	IdleTimeout time.Duration
 }
 
 // Event is one part of a streamed answer.
 type Event struct {
-	// Offset is how many tokens have come with this event.
+	// Offset is the number of tokens of the answer up to and including this event;
+	// 0 for events that carry no token.
 	Offset int64
 	// Response is the event's content.
 	Response chat.Response
-	// End says that the answer is whole.
+	// End is set on the event that ends a whole answer.
 	End bool
 }
 
-// Stream is an answer being read. Close must be called.
+// Stream reads a streamed answer. Close must be called.
 type Stream struct {
 	address     string
 	id          string
@@ -55,19 +56,21 @@
 	idleTimeout time.Duration
 	idleTimer   *time.Timer
 	ctx         context.Context
-	// Load is what the engine reported with the answer's head; negative for none.
+	// Load is the load that the engine reported in the response header; negative
+	// if it reported none.
 	Load float64
-	// Incarnation tells the engine's process from others; empty if it does not say.
+	// Incarnation identifies the engine's process; empty if the engine did not
+	// name it.
 	Incarnation string
 }
 
-// Open sends a request to an engine and reads the answer's head. Errors:
-// *CallError.
+// Open sends a request to an engine and reads the response header. tracker is
+// marked before the first byte is sent. Errors: *CallError.
 func Open(ctx context.Context, address string, r StreamRequest, tracker *outcome.Tracker) (*Stream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &Stream{address: address, id: r.ID, cancel: cancel, idleTimeout: r.IdleTimeout, ctx: ctx}
-	// An engine that falls silent holds an open connection for good. The timer
-	// is set anew at each event; when it fires the connection is closed.
+	// An engine that stops sending would hold the connection open forever. The
+	// timer is reset at each event; when it fires the connection is closed.
 	s.idleTimer = time.AfterFunc(r.IdleTimeout, func() { cancel(ErrIdleTimeout) })
 	if err := s.open(ctx, r, tracker); err != nil {
 		s.Close()
@@ -127,9 +130,9 @@
 	return nil
 }
 
-// Next returns the next event. An answer without its end mark is an error, never
-// a short answer. Errors: *CallError, which wraps ErrCut, ErrSilent, ErrMismatch
-// or the context's cause.
+// Next returns the next event. A stream that ends without its end mark is an
+// error, never a shorter answer. Errors: *CallError, which wraps ErrTruncated,
+// ErrIdleTimeout, ErrRequestIDMismatch, a decoding error or the context's cause.
 func (s *Stream) Next() (Event, error) {
 	s.idleTimer.Reset(s.idleTimeout)
 	event := sse.NewEvent()
@@ -174,8 +177,8 @@
 	}
 }
 
-func decodeAnswer(data []byte, into any) error {
-	if err := json.Unmarshal(data, into); err != nil {
+func decodeAnswer(data []byte, target any) error {
+	if err := json.Unmarshal(data, target); err != nil {
 		return fmt.Errorf("decode answer: %w", err)
 	}
 	return nil
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -18,24 +18,25 @@
 
 // Errors of a call.
 var (
-	// ErrMismatch means that the answer carries another request's id. It is
-	// discarded with its connection.
+	// ErrRequestIDMismatch means that the answer carries another request's id.
+	// The answer and its connection are discarded.
 	ErrRequestIDMismatch = errors.New("answer carries another request's id")
-	// ErrGone means that the engine does not know the request any more.
+	// ErrUnknownRequest means that the engine does not know the request, or does
+	// not know it any more.
 	ErrUnknownRequest = errors.New("upstream does not know the request")
-	// ErrCut means that a stream ended without its end mark.
+	// ErrTruncated means that a stream ended without its end mark.
 	ErrTruncated = errors.New("stream ended without its end mark")
-	// ErrSilent means that nothing came for the bound.
+	// ErrIdleTimeout means that nothing was received for the idle timeout.
 	ErrIdleTimeout = errors.New("upstream fell silent")
 )
 
-// CallError tells at which step and upstream a call failed.
+// CallError describes at which step and upstream a call failed.
 type CallError struct {
 	// Step is "dial", "exchange", "status", "stream", "load" or "cancel".
 	Step string
 	// Peer is the upstream's address.
 	Peer string
-	// Status is the HTTP status, if there was one.
+	// Status is the HTTP status; 0 if none was received.
 	Status int
 	// Err is the cause.
 	Err error
@@ -57,28 +58,29 @@
 	return &CallError{Step: "exchange", Peer: address, Err: err}
 }
 
-// maxAnswerBytes bounds a plain service's answer.
+// maxAnswerBytes bounds the body of a plain service's answer.
 const maxAnswerBytes = 16 << 20
 
-// PlainRequest is a call of a plain service.
+// PlainRequest is a request to a plain service.
 type PlainRequest struct {
 	ID, Method, Path, Query, ContentType, IdempotencyKey string
 	Body                                                 []byte
 }
 
-// PlainAnswer is its answer.
+// PlainAnswer is the answer of a plain service.
 type PlainAnswer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Load is the reported load; negative for none.
+	// Load is the load that the upstream reported; negative if it reported none.
 	Load float64
-	// Incarnation tells the upstream's process from others; empty if it does not say.
+	// Incarnation identifies the upstream's process; empty if the upstream did
+	// not name it.
 	Incarnation string
 }
 
-// CallPlain calls a plain service. Facts are marked before the first byte
-// leaves. Errors: *CallError.
+// CallPlain calls a plain service. tracker is marked before the first byte is
+// sent. Errors: *CallError.
 func CallPlain(ctx context.Context, address string, r PlainRequest, tracker *outcome.Tracker) (*PlainAnswer, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
@@ -115,7 +117,8 @@
 	}, nil
 }
 
-// parseLoad reads "running/waiting"; it returns -1 if there is nothing to read.
+// parseLoad parses "running/waiting" and returns the sum, or -1 if text is not a
+// valid load.
 func parseLoad(text string) float64 {
 	running, waiting, found := strings.Cut(text, "/")
 	r, errRunning := strconv.ParseFloat(running, 64)
@@ -126,8 +129,8 @@
 	return r + w
 }
 
-// FetchLoad asks an engine for its load, in requests running and waiting.
-// Errors: *CallError.
+// FetchLoad queries an engine for its load, the number of its running and waiting
+// requests. Errors: *CallError.
 func FetchLoad(ctx context.Context, address string) (float64, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
@@ -146,11 +149,11 @@
 	return load, nil
 }
 
-// errNoLoad means that an engine does not report its load.
+// errNoLoad means that an engine did not report a valid load.
 var errNoLoad = errors.New("no load reported")
 
-// FetchIncarnation asks an upstream which process it is, by a method that changes nothing; empty if
-// it does not say. Errors: *CallError.
+// FetchIncarnation queries an upstream for its incarnation by an OPTIONS request, which has no side
+// effects; the result is empty if the upstream does not name it. Errors: *CallError.
 func FetchIncarnation(ctx context.Context, address string) (string, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
@@ -165,8 +168,9 @@
 	return resp.Header.Get(chat.HeaderIncarnation), nil
 }
 
-// Cancel stops a request on an engine and returns what it cost. Errors:
-// *CallError; it wraps ErrGone if the engine never had the request.
+// Cancel cancels a request on an engine and returns the tokens that it used.
+// Errors: *CallError, which wraps ErrUnknownRequest if the engine never had
+// the request.
 func Cancel(ctx context.Context, address, id string) (chat.Usage, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
