--- a/pkg/entry/chat.go
+++ b/pkg/entry/chat.go
@@ -79,19 +79,19 @@
 		return notRunProblem(consts.StatusNotFound, kindNotFound, "the service has no such model", 0)
 	}
 	c.dispatch = c.e.pool(c.r.accountRef.Service.Service, c.pool.Name)
-	c.idempotent = !isAtMostOnce(c.pool, consts.MethodPost, chatPath)
+	c.idempotent = !isNonIdempotent(c.pool, consts.MethodPost, chatPath)
 	c.out = newAnswerWriter(c.r, &c.req)
-	engine := c.req
-	engine.Stream = true
-	if engine.MaxTokens == 0 || engine.MaxTokens > c.pool.MaxOutputTokens {
-		engine.MaxTokens = c.pool.MaxOutputTokens
+	engineReq := c.req
+	engineReq.Stream = true
+	if engineReq.MaxTokens == 0 || engineReq.MaxTokens > c.pool.MaxOutputTokens {
+		engineReq.MaxTokens = c.pool.MaxOutputTokens
 	}
-	encoded, err := json.Marshal(engine)
+	encoded, err := json.Marshal(engineReq)
 	if err != nil {
 		return notRunProblem(consts.StatusBadRequest, kindBadRequest, err.Error(), 0)
 	}
 	c.body = encoded
-	c.maxCost = c.r.doc.Limits.PromptBound(len(encoded)) + engine.MaxTokens
+	c.maxCost = c.r.doc.Limits.PromptBound(len(encoded)) + engineReq.MaxTokens
 	c.prefixHash = xxhash.Sum64(promptPrefix(c.req.Messages))
 	return nil
 }
@@ -222,7 +222,7 @@
 // cancelAttempt cancels a failed attempt on its engine and returns its cost in
 // tokens. If the engine cannot report the cost, the attempt may have used all
 // that was reserved, and a budget must never be overspent: maxCost is billed,
-// and the bill's outcome is unknown.
+// and the bill's outcome is unknown unless a later attempt succeeds.
 func (c *chatCall) cancelAttempt(address string, cause error) int64 {
 	if failedBeforeSending(cause) {
 		return 0
--- a/pkg/entry/crash.go
+++ b/pkg/entry/crash.go
@@ -76,8 +76,8 @@
 
 // startRunAt records to which upstream, in its last known incarnation, the run is sent. A request
 // that crashed an upstream, or may have, is sent only if the upstream answers a query for its
-// incarnation now, also if the answer names none. No request is sent to an upstream that is not in service any more. Errors:
-// *upstream.CallError with the step "dial", as nothing has been sent.
+// incarnation now, also if the answer names none. No request is sent to an upstream that is not in
+// service any more. Errors: *upstream.CallError with the step "dial", as nothing has been sent.
 func (e *Entry) startRunAt(ctx context.Context, r quarantine.Run, lease *dispatch.Lease) (upstreamRun, error) {
 	address := lease.Upstream.Address
 	if r.IsWatched() {
@@ -95,14 +95,14 @@
 
 // concludeRun reports to the quarantine how an attempt at an upstream ended; sent is false if the
 // attempt failed before the request was sent.
-func (e *Entry) concludeRun(ctx context.Context, r *request, run upstreamRun, handed bool, err error) {
+func (e *Entry) concludeRun(ctx context.Context, r *request, run upstreamRun, sent bool, err error) {
 	evidence := quarantine.NoEvidence
-	switch clientGone := errors.Is(err, errClientGone) || ctx.Err() != nil; {
+	switch abandoned := errors.Is(err, errClientGone) || ctx.Err() != nil; {
 	case err == nil:
 		evidence = quarantine.WholeAnswer
-	case handed && !clientGone && connectionEnded(err):
+	case sent && !abandoned && connectionEnded(err):
 		evidence = quarantine.ConnectionEnded
-	case handed && !clientGone:
+	case sent && !abandoned:
 		evidence = quarantine.NoAnswer
 	}
 	conclusion := run.Conclude(ctx, quarantine.Attempt{
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -58,9 +58,9 @@
 // incarnation for the silence timeout.
 type SilentFunc func(incarnation string) bool
 
-// Lookout determines the state of the upstream at an address after a connection
-// to it ended.
-type Lookout interface {
+// PeerProber determines the state of the upstream at an address after a
+// connection to it ended.
+type PeerProber interface {
 	Look(address string) httpconn.PeerState
 }
 
@@ -75,8 +75,8 @@
 	Journal *bill.Journal
 	Claims  *claim.Claimer
 	Silent  SilentFunc
-	// Lookout tells crashed upstreams from ones that only closed a connection.
-	Lookout Lookout
+	// PeerProber tells crashed upstreams from ones that only closed a connection.
+	Lookout PeerProber
 	// Quarantine finds requests that crash upstreams.
 	Quarantine *quarantine.Table
 	Log        *eventlog.Log
--- a/pkg/entry/idempotency.go
+++ b/pkg/entry/idempotency.go
@@ -113,6 +113,8 @@
 	return e.replay(r, existing)
 }
 
+// unknownOutcomeProblem tells the client that it is not known whether the request
+// that claimed the key ran.
 func (e *Entry) unknownOutcomeProblem(existing *claim.Claim) *Problem {
 	return newProblem(consts.StatusConflict, kindOutcomeUnknown,
 		"the instance that ran request "+existing.Request+" is gone; whether it ran is not known. "+
--- a/pkg/entry/plain.go
+++ b/pkg/entry/plain.go
@@ -30,11 +30,11 @@
 	answer         *upstream.PlainAnswer
 }
 
-// isAtMostOnce reports whether the service document lists a request as one that
-// may not be repeated.
-func isAtMostOnce(pool *document.Pool, method, path string) bool {
-	for _, once := range pool.Once {
-		if once.Method == method && hasPathPrefix(path, once.Path) {
+// isNonIdempotent reports whether the service document lists a request as one
+// that may not be repeated.
+func isNonIdempotent(pool *document.Pool, method, path string) bool {
+	for _, pattern := range pool.Once {
+		if pattern.Method == method && hasPathPrefix(path, pattern.Path) {
 			return true
 		}
 	}
@@ -58,7 +58,7 @@
 		r:          r,
 		pool:       pool,
 		dispatch:   e.pool(r.accountRef.Service.Service, pool.Name),
-		idempotent: !isAtMostOnce(pool, method, path),
+		idempotent: !isNonIdempotent(pool, method, path),
 		billing:    billing{entry: e, r: r},
 		call: upstream.PlainRequest{
 			ID:             r.id,
@@ -167,8 +167,8 @@
 // is idempotent, or no byte of it has been sent.
 func (p *plainCall) canRetry(err error) bool {
 	var call *upstream.CallError
-	undelivered := errors.As(err, &call) && call.Step == "dial"
-	return (p.idempotent || (undelivered && !p.r.tracker.MaybeSent())) && p.e.Now().Before(p.r.deadline)
+	notSent := errors.As(err, &call) && call.Step == "dial"
+	return (p.idempotent || (notSent && !p.r.tracker.MaybeSent())) && p.e.Now().Before(p.r.deadline)
 }
 
 func (p *plainCall) deliver() {
