--- a/pkg/bill/keeper.go
+++ b/pkg/bill/keeper.go
@@ -12,35 +12,36 @@
 // Keeper holds copies of other instances' records. It is safe for concurrent use.
 type Keeper struct {
 	store store.Store
-	// taking is held by the one takeover at a time.
-	taking sync.Mutex
+	// takeOverMu allows one takeover at a time.
+	takeOverMu sync.Mutex
 
 	mu     sync.Mutex
-	copies map[string]*copies
+	copies map[string]*recordCopies
 }
 
-// copies is what is kept of one incarnation.
-type copies struct {
-	segment uint64
-	records map[uint64]*billpb.Record
+// recordCopies holds the copies of one incarnation's records, by sequence number,
+// and the number of its first segment that may hold them.
+type recordCopies struct {
+	nextSegment uint64
+	records     map[uint64]*billpb.Record
 }
 
-// NewKeeper returns a keeper without copies.
+// NewKeeper returns a Keeper without copies.
 func NewKeeper(target store.Store) *Keeper {
-	return &Keeper{store: target, copies: map[string]*copies{}}
+	return &Keeper{store: target, copies: map[string]*recordCopies{}}
 }
 
-// Keep takes copies and drops those that are durable. A copy that comes twice
-// or late is one copy: its number says which.
+// Keep stores copies of records and removes those that are durable. A record that
+// is received twice or late is recognized by its sequence number.
 func (k *Keeper) Keep(_ context.Context, req *billpb.KeepRequest) (*billpb.KeepReply, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.copies[req.Incarnation]
 	if c == nil {
-		c = &copies{records: map[uint64]*billpb.Record{}}
+		c = &recordCopies{records: map[uint64]*billpb.Record{}}
 		k.copies[req.Incarnation] = c
 	}
-	c.segment = max(c.segment, req.Segment)
+	c.nextSegment = max(c.nextSegment, req.Segment)
 	kept := req.Durable
 	for _, record := range req.Records {
 		c.records[record.Seq] = record
@@ -54,32 +55,35 @@
 	return &billpb.KeepReply{Kept: kept}, nil
 }
 
-// TakeOver writes the records kept for incarnations that are silent. It may be
-// early: the segments' names make sure that each record lands once.
+// TakeOver writes the copies of the records of silent incarnations to the store.
+// An incarnation may be silent and still running: as both write segments of the
+// same names, each record is stored once.
 func (k *Keeper) TakeOver(ctx context.Context, silent func(incarnation string) bool) error {
-	if !k.taking.TryLock() {
+	if !k.takeOverMu.TryLock() {
 		return nil
 	}
-	defer k.taking.Unlock()
-	for incarnation, left := range k.left(silent) {
-		if _, _, err := writeSegments(ctx, k.store, incarnation, left.segment, left.records); err != nil {
+	defer k.takeOverMu.Unlock()
+	for incarnation, unwritten := range k.unwrittenOf(silent) {
+		if _, _, err := writeSegments(ctx, k.store, incarnation, unwritten.nextSegment, unwritten.records); err != nil {
 			return err
 		}
-		k.forget(incarnation, left.records)
+		k.forget(incarnation, unwritten.records)
 	}
 	return nil
 }
 
-// leftRecords is what a silent incarnation has not been known to write.
-type leftRecords struct {
-	segment uint64
-	records []*billpb.Record
+// unwrittenRecords holds the records, in order, that a silent incarnation is not
+// known to have written.
+type unwrittenRecords struct {
+	nextSegment uint64
+	records     []*billpb.Record
 }
 
-func (k *Keeper) left(silent func(string) bool) map[string]leftRecords {
+// unwrittenOf returns the unwritten records of all silent incarnations.
+func (k *Keeper) unwrittenOf(silent func(string) bool) map[string]unwrittenRecords {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	out := map[string]leftRecords{}
+	out := map[string]unwrittenRecords{}
 	for incarnation, kept := range k.copies {
 		if len(kept.records) > 0 && silent(incarnation) {
 			out[incarnation] = kept.sorted()
@@ -88,13 +92,13 @@
 	return out
 }
 
-func (c *copies) sorted() leftRecords {
+func (c *recordCopies) sorted() unwrittenRecords {
 	list := make([]*billpb.Record, 0, len(c.records))
 	for _, record := range c.records {
 		list = append(list, record)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Seq < list[j].Seq })
-	return leftRecords{segment: c.segment, records: list}
+	return unwrittenRecords{nextSegment: c.nextSegment, records: list}
 }
 
 func (k *Keeper) forget(incarnation string, written []*billpb.Record) {
