--- a/pkg/forward/call.go
+++ b/pkg/forward/call.go
@@ -12,43 +12,44 @@
 	"github.com/lavenderring/lavenderring/pkg/routing"
 )
 
-// call is one request on its way.
+// call is a client's request in progress, with all its attempts.
 type call struct {
-	f        *Forwarder
-	r        *Request
-	client   Client
-	route    *routing.Route
-	account  *routing.Account
-	target   *routing.Service
-	service  *service
-	deadline time.Time
-	// urgent says that no route to its service ranks before the request's.
+	f            *Forwarder
+	r            *Request
+	client       Client
+	route        *routing.Route
+	account      *routing.Account
+	target       *routing.Service
+	serviceState *serviceState
+	deadline     time.Time
+	// urgent says that no route to the same service has a more urgent priority.
 	urgent bool
 
-	// reservation is nil for a request that costs nothing.
+	// reservation holds the prepaid tokens set aside; nil for a request that costs nothing.
 	reservation *prepaid.Reservation
 
-	// sent counts the attempts that left; mayHaveRun says that one of them may
-	// have run, after which "not run" is never said again.
-	sent       int
+	// numSent counts the attempts that were sent; mayHaveRun says that one of them may
+	// have run, after which the client is never told "not run".
+	numSent    int
 	mayHaveRun bool
-	// ranBefore says the same of the attempts before the present one.
-	ranBefore bool
-	tried     []string
-	// ownFailure is an upstream's own failure, passed on if nothing better comes.
-	ownFailure *wholeAnswer
-
-	// begun says that a streamed answer has begun; events and lastEventID are
-	// what the client has of it.
+	// earlierMayHaveRun says the same of the attempts before the current one.
+	earlierMayHaveRun bool
+	tried             []string
+	// upstreamFailure is the last answer with a server error; it is passed on if no other
+	// attempt succeeds.
+	upstreamFailure *wholeAnswer
+
+	// begun says that a streamed answer has begun; numEvents and lastEventID say how much
+	// of it the client has.
 	begun       bool
-	events      int64
+	numEvents   int64
 	lastEventID string
-	pace        pace
-	// print is the request's fingerprint once it was needed.
-	print *fingerprint.Fingerprint
+	timing      streamTiming
+	// fingerprint is computed when it is first needed.
+	fingerprint *fingerprint.Fingerprint
 }
 
-// setDeadline bounds the request by what the client and the route allow.
+// setDeadline sets the deadline to the shorter of the client's and the route's timeouts.
 func (c *call) setDeadline() {
 	wait := c.route.Timeout
 	if c.r.Wait > 0 && (wait <= 0 || c.r.Wait < wait) {
@@ -60,39 +61,39 @@
 	c.deadline = c.r.Arrived.Add(wait)
 }
 
-// defaultTimeout bounds a request for which neither side names a time.
+// defaultTimeout bounds a request for which neither the client nor the route sets a timeout.
 const defaultTimeout = 60 * time.Second
 
 func (c *call) remaining() time.Duration { return c.deadline.Sub(c.f.Now()) }
 
-// run makes attempts until the answer is delivered or nothing more may be tried.
+// run makes attempts until the answer is delivered or no further attempt is allowed.
 func (c *call) run(ctx context.Context) {
-	defer c.settle()
+	defer c.settleReservation()
 	c.f.meters.accepted.Inc(1)
-	c.service.limit.First(c.accountName())
+	c.serviceState.limit.First(c.accountName())
 	for {
-		failure := c.attempt(ctx)
+		failure := c.tryUpstream(ctx)
 		if failure == nil {
 			return
 		}
 		if ctx.Err() != nil {
-			c.clientLeft()
+			c.handleClientGone()
 			return
 		}
-		if !c.mayTryAgain(failure) {
-			c.finish(failure)
+		if !c.mayRetry(failure) {
+			c.finishFailed(failure)
 			return
 		}
-		c.f.meters.repeated.Inc(1)
+		c.f.meters.retried.Inc(1)
 		c.f.Log.Event(eventlog.RequestRepeated, c.r.ID, eventlog.Fields{
-			"step": failure.step, "peer": failure.peer, "cause": failure.err.Error(), "sent": c.sent,
+			"step": failure.step, "peer": failure.peer, "cause": failure.err.Error(), "sent": c.numSent,
 		})
 	}
 }
 
-// settle bills what was delivered. Tokens of the prompt count once a request may
-// have run, output as it was delivered.
-func (c *call) settle() {
+// settleReservation bills what was delivered: the prompt's tokens once the request may
+// have run, output tokens as they were delivered.
+func (c *call) settleReservation() {
 	if c.reservation == nil {
 		return
 	}
@@ -101,44 +102,45 @@
 		used = c.r.PromptTokens
 	}
 	if c.target.Engine != nil {
-		used += min(c.events*c.target.Engine.TokensPerEvent, c.r.MaxOutputTokens)
+		used += min(c.numEvents*c.target.Engine.TokensPerEvent, c.r.MaxOutputTokens)
 	}
 	c.f.Budgets.Settle(c.reservation, used)
 	c.f.Log.Event(eventlog.RequestBilled, c.r.ID, eventlog.Fields{
-		"budget": c.account.Name, "tokens": used, "events": c.events, "reserved": c.r.PromptTokens + c.r.MaxOutputTokens,
+		"budget": c.account.Name, "tokens": used, "events": c.numEvents, "reserved": c.r.PromptTokens + c.r.MaxOutputTokens,
 	})
 }
 
-func (c *call) clientLeft() {
-	c.f.meters.left.Inc(1)
+func (c *call) handleClientGone() {
+	c.f.meters.clientsGone.Inc(1)
 	c.f.Log.Event(eventlog.CallerGone, c.r.ID, eventlog.Fields{
-		"after_ms": c.f.Now().Sub(c.r.Arrived).Milliseconds(), "events": c.events, "sent": c.sent,
+		"after_ms": c.f.Now().Sub(c.r.Arrived).Milliseconds(), "events": c.numEvents, "sent": c.numSent,
 	})
 	if c.begun {
 		c.client.Abort()
 	}
 }
 
-// failure is why an attempt gave no whole answer.
+// failure says why an attempt gave no whole answer.
 type failure struct {
 	step, peer string
 	err        error
-	// full says that the upstream refused for its load.
-	full bool
-	// final forbids another attempt.
-	final bool
-	// ended says that the upstream's side of the connection ended.
-	ended bool
-	// answered says that the upstream gave a whole answer, which was no success.
+	// neutral says that the failure does not count against the upstream: it refused because of
+	// its load, it is leaving, or this instance has its share of connections to it.
+	neutral bool
+	// noRetry forbids another attempt.
+	noRetry bool
+	// connEnded says that the upstream's side of the connection ended.
+	connEnded bool
+	// answered says that the upstream gave a whole answer with an error status.
 	answered bool
 }
 
-func (f *failure) withAnswer() *failure {
+func (f *failure) markAnswered() *failure {
 	f.answered = true
 	return f
 }
 
-// wholeAnswer is an upstream's answer that has been read whole.
+// wholeAnswer is an upstream's answer that has been read completely.
 type wholeAnswer struct {
 	head AnswerHead
 	body []byte
@@ -146,73 +148,73 @@
 
 // Failures of an attempt.
 var (
-	errNoUpstream  = errors.New("no upstream is in service")
-	errAllTried    = errors.New("every upstream was tried")
-	errOverloaded  = errors.New("this instance's own link is full")
-	errLeft        = errors.New("upstream left service before the sending")
-	errNoTime      = errors.New("no time left")
-	errConnections = errors.New("too many connections to the upstream")
-	errMismatch    = errors.New("answer carries another request's id")
-	errUnsealed    = errors.New("answer is not vouched for by the upstream")
-	errEncoded     = errors.New("body was encoded on its way")
-	errRefused     = errors.New("upstream refused the request")
-	errOwnFailure  = errors.New("upstream answered with a failure")
-	errBroken      = errors.New("answer broke off")
-	errSilent      = errors.New("upstream fell silent")
+	errNoUpstream      = errors.New("no upstream is in service")
+	errAllTried        = errors.New("every upstream in service has been tried")
+	errOverloaded      = errors.New("the network link of this instance is saturated")
+	errLeaving         = errors.New("upstream left service before the request was sent")
+	errNoTime          = errors.New("no time left")
+	errConnections     = errors.New("connection limit of the upstream reached")
+	errAnswerMismatch  = errors.New("answer carries another request's id")
+	errUnsealed        = errors.New("answer carries no seal of the upstream")
+	errEncoded         = errors.New("answer has a content encoding, which the upstream does not apply")
+	errRefused         = errors.New("upstream refused the request")
+	errUpstreamFailure = errors.New("upstream answered with a server error")
+	errIncomplete      = errors.New("stream ended within an event or exceeded the event size limit")
+	errUpstreamSilent  = errors.New("upstream sent nothing before the attempt's deadline")
 )
 
-// mayTryAgain says whether another upstream may be asked. What may not be
-// repeated goes on only if every attempt so far certainly did not run.
-func (c *call) mayTryAgain(last *failure) bool {
-	if last.final || c.sent >= c.route.MaxAttempts || c.remaining() <= leastAttemptTime {
+// mayRetry reports whether another upstream may be tried. A request that is not idempotent
+// is sent again only if it certainly ran in none of its attempts.
+func (c *call) mayRetry(last *failure) bool {
+	if last.noRetry || c.numSent >= c.route.MaxAttempts || c.remaining() <= minAttemptTime {
 		return false
 	}
 	if c.mayHaveRun && !c.route.Repeatable() {
 		return false
 	}
-	if last.step == stepDial || last.step == stepChosen {
-		return true // nothing reached the upstream; the retry bound is not touched
+	if last.step == stepDial || last.step == stepBeforeSend {
+		return true // nothing reached the upstream, so this is not counted as a retry
 	}
-	return c.service.limit.TryRepeat(c.accountName())
+	return c.serviceState.limit.TryRepeat(c.accountName())
 }
 
-// leastAttemptTime is the time below which an attempt has no prospect: two
-// network round trips and the shortest work.
-const leastAttemptTime = 10 * time.Millisecond
+// minAttemptTime is the shortest time in which an attempt can succeed: two
+// network round trips and the shortest processing.
+const minAttemptTime = 10 * time.Millisecond
 
-// finish ends the request after its last attempt.
-func (c *call) finish(last *failure) {
+// finishFailed ends the request after its last attempt has failed.
+func (c *call) finishFailed(last *failure) {
 	if c.begun {
 		c.f.meters.unknown.Inc(1)
 		c.f.Log.Event(eventlog.RequestFailed, c.r.ID, eventlog.Fields{
 			"reason": "stream-broken", "step": last.step, "peer": last.peer, "cause": last.err.Error(),
-			"events": c.events, "sent": c.sent, "took_ms": c.f.Now().Sub(c.r.Arrived).Milliseconds(),
+			"events": c.numEvents, "sent": c.numSent, "took_ms": c.f.Now().Sub(c.r.Arrived).Milliseconds(),
 		})
 		c.client.Abort()
 		return
 	}
-	if c.ownFailure != nil {
-		c.deliver(c.ownFailure)
+	if c.upstreamFailure != nil {
+		c.deliver(c.upstreamFailure)
 		return
 	}
 	refusal := &Refusal{Step: last.step, Peer: last.peer, Err: last.err}
-	quarantined, inQuarantine := quarantineRefusal(last.err)
+	quarantined, inQuarantine := quarantineReason(last.err)
 	switch {
-	case c.mayHaveRun && c.remaining() <= leastAttemptTime:
+	case c.mayHaveRun && c.remaining() <= minAttemptTime:
 		refusal.Reason = Timeout
 	case c.mayHaveRun:
 		refusal.Reason = Unknown
 	case inQuarantine:
 		refusal.Reason = quarantined
 		if quarantined == Suspected {
-			refusal.RetryAfter = soonRetry
+			refusal.RetryAfter = defaultRetryAfter
 		}
 	case errors.Is(last.err, errNoUpstream):
-		refusal.Reason, refusal.RetryAfter = NoUpstream, c.f.noUpstreamRetry()
-	case c.remaining() <= leastAttemptTime:
+		refusal.Reason, refusal.RetryAfter = NoUpstream, c.f.noUpstreamRetryAfter()
+	case c.remaining() <= minAttemptTime:
 		refusal.Reason = NotRunTimeout
 	default:
-		refusal.Reason, refusal.RetryAfter = Overloaded, soonRetry
+		refusal.Reason, refusal.RetryAfter = Overloaded, defaultRetryAfter
 	}
 	c.f.refuse(c.r, c.client, refusal)
 }
@@ -221,29 +223,29 @@
 	err := c.client.Answer(a.head.Status, a.head.Header, a.body)
 	took := c.f.Now().Sub(c.r.Arrived)
 	c.f.meters.answered.Inc(1)
-	c.f.meters.whole.Update(took)
-	fields := eventlog.Fields{"status": a.head.Status, "took_ms": took.Milliseconds(), "sent": c.sent}
+	c.f.meters.answerTime.Update(took)
+	fields := eventlog.Fields{"status": a.head.Status, "took_ms": took.Milliseconds(), "sent": c.numSent}
 	if err != nil {
 		fields["cause"] = err.Error()
 	}
 	c.f.Log.Event(eventlog.RequestRan, c.r.ID, fields)
 }
 
-// choose finds a place for the next attempt.
-func (c *call) choose() (*placement.Place, *failure) {
-	want := &placement.Want{PromptTokens: c.r.PromptTokens, Pause: c.route.Pause, Tried: c.tried}
+// chooseUpstream leases an upstream for the next attempt.
+func (c *call) chooseUpstream() (*placement.Place, *failure) {
+	request := &placement.Want{PromptTokens: c.r.PromptTokens, Pause: c.route.Pause, Tried: c.tried}
 	if c.target.Engine != nil {
-		want.TokensPerEvent = c.target.Engine.TokensPerEvent
+		request.TokensPerEvent = c.target.Engine.TokensPerEvent
 	}
 	for _, part := range c.r.Prompt {
-		want.Parts = append(want.Parts, placement.Part(part))
+		request.Parts = append(request.Parts, placement.Part(part))
 	}
-	place := c.service.pool.Choose(want)
-	if place != nil {
-		return place, nil
+	lease := c.serviceState.pool.Choose(request)
+	if lease != nil {
+		return lease, nil
 	}
 	if len(c.tried) == 0 {
-		return nil, &failure{step: "choose", err: errNoUpstream, final: true}
+		return nil, &failure{step: "choose", err: errNoUpstream, noRetry: true}
 	}
-	return nil, &failure{step: "choose", err: errAllTried, final: true}
+	return nil, &failure{step: "choose", err: errAllTried, noRetry: true}
 }
--- a/pkg/forward/crash.go
+++ b/pkg/forward/crash.go
@@ -12,7 +12,7 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine"
 )
 
-// stepQuarantine is before anything is sent.
+// stepQuarantine is the quarantine's check before anything is sent.
 const stepQuarantine = "quarantine"
 
 // refuseCondemned refuses a request that crashed the upstreams that ran it.
@@ -23,54 +23,55 @@
 	return nil
 }
 
-// beginRun asks whether the request may run now; it may have become suspected since it came.
+// beginRun asks the quarantine whether the request may run now; it may have become suspected since
+// it arrived.
 func (c *call) beginRun() (quarantine.Run, *failure) {
 	run, err := c.f.Quarantine.Begin(c, c.f.Now())
 	if err != nil {
-		return run, &failure{step: stepQuarantine, err: err, final: true}
+		return run, &failure{step: stepQuarantine, err: err, noRetry: true}
 	}
 	return run, nil
 }
 
-// chooseFor finds a place for a run. A request that may crash upstreams goes to none whose process may
-// have ended: the next one at its address would not be known from it. One that is not suspected yet goes
-// there if there is no other.
-func (c *call) chooseFor(run quarantine.Run) (*placement.Place, *failure) {
+// chooseForRun leases an upstream for a run. A request that may crash upstreams is not sent to one whose
+// process may have ended, since the next process at that address could not be told from it. If there is no
+// other upstream, a request that is not suspected yet is sent there all the same.
+func (c *call) chooseForRun(run quarantine.Run) (*placement.Place, *failure) {
 	tried := c.tried
-	place, failed := c.choose()
-	for failed == nil && run.IsWatched() && c.mayHaveEnded(place) {
-		place.Done(placement.Neutral)
-		c.tried = append(slices.Clone(c.tried), place.ID)
-		place, failed = c.choose()
+	lease, failed := c.chooseUpstream()
+	for failed == nil && run.IsWatched() && c.processMayHaveEnded(lease) {
+		lease.Done(placement.Neutral)
+		c.tried = append(slices.Clone(c.tried), lease.ID)
+		lease, failed = c.chooseUpstream()
 	}
 	if failed != nil && !run.IsTrial() && len(c.tried) > len(tried) {
 		c.tried = tried
-		return c.choose()
+		return c.chooseUpstream()
 	}
-	return place, failed
+	return lease, failed
 }
 
-func (c *call) mayHaveEnded(place *placement.Place) bool {
+func (c *call) processMayHaveEnded(lease *placement.Place) bool {
 	q := c.f.Quarantine
-	return q.Undecided(place.Address) || q.HasCrashed(place.Address, place.Incarnation())
+	return q.Undecided(lease.Address) || q.HasCrashed(lease.Address, lease.Incarnation())
 }
 
-// concludeRun notes what an attempt showed of the request.
+// concludeRun passes what the attempt showed about the request to the quarantine.
 func (a *attempt) concludeRun(ctx context.Context, run quarantine.Run, failed *failure) {
 	f := a.c.f
 	evidence := quarantine.NoEvidence
 	switch {
 	case failed == nil || failed.answered:
 		evidence = quarantine.WholeAnswer
-	case failed.ended && ctx.Err() == nil:
+	case failed.connEnded && ctx.Err() == nil:
 		evidence = quarantine.ConnectionEnded
 	}
 	ended := quarantine.Attempt{Evidence: evidence}
-	if evidence == quarantine.ConnectionEnded { // nothing of it is needed for the others
+	if evidence == quarantine.ConnectionEnded { // the quarantine needs these only for this evidence
 		ended.Origin = quarantine.Origin{Account: a.c.accountName(), Route: a.c.route.Name}
-		ended.Upstream = quarantine.Upstream{ID: a.place.ID, Address: a.place.Address, Incarnation: a.place.Incarnation()}
+		ended.Upstream = quarantine.Upstream{ID: a.lease.ID, Address: a.lease.Address, Incarnation: a.lease.Incarnation()}
 	}
-	conclusion := run.Conclude(ctx, ended, func() bool { return a.lookAtUpstream(failed) == httpconn.Crashed }, f.Now)
+	conclusion := run.Conclude(ctx, ended, func() bool { return a.probeUpstream(failed) == httpconn.Crashed }, f.Now)
 	if conclusion.Cleared {
 		f.meters.cleared.Inc(1)
 		f.Log.Event(eventlog.RequestCleared, a.c.r.ID, eventlog.Fields{"fingerprint": a.c.Fingerprint().String()})
@@ -80,13 +81,13 @@
 	}
 }
 
-// lookAtUpstream finds out whether the upstream crashed or only the connection ended.
-func (a *attempt) lookAtUpstream(failed *failure) httpconn.PeerState {
-	state := a.c.f.Lookout.Look(a.place.Address)
+// probeUpstream finds out whether the upstream crashed or only the connection to it ended.
+func (a *attempt) probeUpstream(failed *failure) httpconn.PeerState {
+	state := a.c.f.PeerProber.Look(a.lease.Address)
 	a.c.f.Log.Event(eventlog.RequestBrokeOff, a.c.r.ID, eventlog.Fields{
-		"state": state, "upstream": a.place.ID, "address": a.place.Address, "step": failed.step,
+		"state": state, "upstream": a.lease.ID, "address": a.lease.Address, "step": failed.step,
 		"fingerprint": a.c.Fingerprint().String(), "route": a.c.route.Name, "account": a.c.accountName(),
-		"ran_ms": a.c.f.Now().Sub(a.sentAt).Milliseconds(), "sent": a.c.sent,
+		"ran_ms": a.c.f.Now().Sub(a.sentAt).Milliseconds(), "sent": a.c.numSent,
 	})
 	return state
 }
@@ -95,25 +96,25 @@
 	f := a.c.f
 	f.meters.crashes.Inc(1)
 	f.Log.Event(eventlog.RequestSuspected, a.c.r.ID, eventlog.Fields{
-		"fingerprint": record.Fingerprint.String(), "crashes": record.InARow(), "upstream": a.place.ID,
+		"fingerprint": record.Fingerprint.String(), "crashes": record.InARow(), "upstream": a.lease.ID,
 		"condemned": f.Quarantine.StateOf(record.Fingerprint) == quarantine.Condemned,
 	})
 }
 
-// noteIncarnation tells the quarantine what an answer's head shows of the process that gave it.
+// noteIncarnation tells the quarantine what an answer's head shows about the process that sent it.
 func (a *attempt) noteIncarnation(head *AnswerHead) {
 	switch {
-	case !a.c.f.Quarantine.Undecided(a.place.Address):
+	case !a.c.f.Quarantine.Undecided(a.lease.Address):
 	case head.WrongIncarnation:
-		a.c.f.Quarantine.Ended(a.place.Address, a.place.Incarnation(), a.sentAt)
+		a.c.f.Quarantine.Ended(a.lease.Address, a.lease.Incarnation(), a.sentAt)
 	case head.NotRun || (head.Sealed && head.ID == a.c.r.ID):
-		a.c.f.Quarantine.Answered(a.place.Address, a.place.Incarnation(), a.sentAt)
+		a.c.f.Quarantine.Answered(a.lease.Address, a.lease.Incarnation(), a.sentAt)
 	}
 }
 
-// quarantineRefusal returns the reason to refuse a request that the quarantine holds back; false for
-// other errors.
-func quarantineRefusal(err error) (Reason, bool) {
+// quarantineReason returns the reason for refusing a request that the quarantine does not let run;
+// false for other errors.
+func quarantineReason(err error) (Reason, bool) {
 	switch {
 	case errors.Is(err, quarantine.ErrCondemned):
 		return Quarantined, true
@@ -125,14 +126,14 @@
 
 // Fingerprint implements quarantine.Request.
 func (c *call) Fingerprint() fingerprint.Fingerprint {
-	if c.print == nil {
-		print := fingerprint.Of(c.accountName(), c.r.Host, fingerprint.Content(c.r.Method, c.r.Target, c.r.Body))
-		c.print = &print
+	if c.fingerprint == nil {
+		fp := fingerprint.Of(c.accountName(), c.r.Host, fingerprint.Content(c.r.Method, c.r.Target, c.r.Body))
+		c.fingerprint = &fp
 	}
-	return *c.print
+	return *c.fingerprint
 }
 
-// accountName is empty where no account is needed.
+// accountName returns the account's name; empty where no account is needed.
 func (c *call) accountName() string {
 	if c.account == nil {
 		return ""
--- a/pkg/forward/forwarder.go
+++ b/pkg/forward/forwarder.go
@@ -24,29 +24,29 @@
 // Bounds of the pipeline.
 const (
 	// reserveTimeout bounds the search for tokens at other instances and in the
-	// store; what they answer comes in milliseconds, and a request has better
-	// uses for its time than to wait for one that does not answer.
+	// store. Answers come within milliseconds, and the request's time is better spent
+	// than on waiting for one that does not answer.
 	reserveTimeout = 400 * time.Millisecond
-	// soonRetry is when a client may come back after a refusal that another
-	// instance or a moment later may not repeat.
-	soonRetry = 150 * time.Millisecond
-	// outageRetry is when to come back to an instance that reaches neither the ledger nor
-	// a lender, or has no configuration while the store is away: half of the longest
-	// outage that tokens are held for by default. One that comes back into the same
-	// outage is refused for good, and one that waited has lost nothing that it had not
-	// lost by the refusal. Clients honour a third of the time that they have left at most.
-	outageRetry = 6 * time.Second
-	// shortRetry is when to come back while other instances still give back what they
-	// hold of a budget that is short: they report twice a second.
-	shortRetry = 1200 * time.Millisecond
-	// lateAfter is how long after a planned stop has begun requests of any length
-	// are still taken: the balancer has turned away by then.
-	lateAfter = 2500 * time.Millisecond
-	// emptiedRetry is when to come back while the domains that would serve are emptied: operators
-	// take them back after seconds at the earliest.
-	emptiedRetry = 2 * time.Second
-	// startRetry is when to come back to an instance without a configuration.
-	startRetry = 500 * time.Millisecond
+	// defaultRetryAfter applies to refusals that another instance, or this one a moment
+	// later, may not repeat.
+	defaultRetryAfter = 150 * time.Millisecond
+	// outageRetryAfter applies if the instance reaches neither the ledger nor a lender, or
+	// has no configuration while the store is unavailable: half of the longest outage for
+	// which tokens are held by default. A client that comes back during the same outage is
+	// refused for good, and one that waits loses nothing beyond the refusal. Clients wait
+	// for at most a third of the time that they have left.
+	outageRetryAfter = 6 * time.Second
+	// tokensShortRetryAfter applies while other instances still return what they hold of a
+	// budget that is short: they report twice a second.
+	tokensShortRetryAfter = 1200 * time.Millisecond
+	// stopAcceptPeriod is how long after the begin of a planned stop requests with any
+	// deadline are still accepted: by then the load balancer sends no more here.
+	stopAcceptPeriod = 2500 * time.Millisecond
+	// emptiedRetryAfter applies while operators have emptied the failure domains that would
+	// serve: they restore them after seconds at the earliest.
+	emptiedRetryAfter = 2 * time.Second
+	// startingRetryAfter applies while a starting instance has no configuration.
+	startingRetryAfter = 500 * time.Millisecond
 )
 
 // Budgets reserves and settles tokens.
@@ -55,12 +55,12 @@
 	Settle(r *prepaid.Reservation, used int64)
 }
 
-// Lookout tells what became of the upstream at an address whose connection ended.
-type Lookout interface {
+// PeerProber finds out the state of the upstream at an address whose connection ended.
+type PeerProber interface {
 	Look(address string) httpconn.PeerState
 }
 
-// Deps is what a forwarder works with.
+// Deps holds the dependencies of a Forwarder.
 type Deps struct {
 	// Domain is the instance's failure domain.
 	Domain   string
@@ -71,118 +71,122 @@
 	Conns    *httpconn.Pool
 	Log      *eventlog.Log
 	Metrics  metrics.Registry
-	// Lookout tells crashed upstreams from connections that ended; nil for one of its own.
-	Lookout Lookout
-	// Quarantine finds requests that crash upstreams; nil for one of its own.
+	// PeerProber distinguishes crashed upstreams from connections that ended; New creates one if
+	// it is nil.
+	PeerProber PeerProber
+	// Quarantine finds requests that crash upstreams; New creates one if it is nil.
 	Quarantine *quarantine.Table
-	// Cold bounds what is sent to upstreams that have just started, ColdOverage and ColdSlack are
-	// the bound's terms beside the service's own; nil for no bound.
-	Cold                   placement.ColdLimit
+	// ColdLimit limits the requests sent to upstreams that have just started; nil for no limit.
+	// ColdOverage and ColdSlack complete the limit that each service sets.
+	ColdLimit              placement.ColdLimit
 	ColdOverage, ColdSlack float64
-	// Load bounds what is taken on when this instance's own link is full; nil for no bound.
-	Load *overload.Limit
-	// Retries bounds what is sent once more; Instances tells how many instances
-	// share the bound.
-	Retries   retrylimit.Settings
-	Instances func() int
-	// Synced is closed once the instance has a configuration and the upstreams; nil for one that has
-	// them from its start.
+	// Overload limits the requests accepted while this instance's network link is saturated; nil
+	// for no limit.
+	Overload *overload.Limit
+	// Retries limits the requests that are sent again; NumInstances returns how many instances
+	// share the limit.
+	Retries      retrylimit.Settings
+	NumInstances func() int
+	// Synced is closed once the instance has a configuration and the upstreams; nil if it has them
+	// from its start.
 	Synced <-chan struct{}
-	// StoreUp reports whether the platform's store answered the last call.
-	StoreUp func() bool
-	Now     func() time.Time
+	// StoreAvailable reports whether the platform's store answered the last call.
+	StoreAvailable func() bool
+	Now            func() time.Time
 }
 
 // Forwarder serves requests. It is safe for concurrent use.
 type Forwarder struct {
 	Deps
-	meters meters
-	sentTo sentTo
-	// began is when the instance started.
-	began time.Time
+	meters   meters
+	lastSent lastSentTimes
+	// startedAt is when the instance started.
+	startedAt time.Time
 
 	// stop is nil until a planned stop begins.
 	stop atomic.Pointer[plannedStop]
 
 	mu       sync.Mutex
-	services map[string]*service
+	services map[string]*serviceState
 }
 
-// plannedStop is when a planned stop began and when it ends.
-type plannedStop struct{ began, ends time.Time }
+// plannedStop holds when a planned stop began and when it ends.
+type plannedStop struct{ beganAt, endsAt time.Time }
 
-// StopBy says that the instance ends at a time. Requests that come late and might
-// last longer are refused from now on: cut off in the middle, a client would not
-// know whether they ran.
-func (f *Forwarder) StopBy(ends time.Time) { f.stop.Store(&plannedStop{began: f.Now(), ends: ends}) }
+// StopBy announces that the instance ends at a time. From stopAcceptPeriod on, requests
+// that might last longer are refused: if they were cut off, their clients would not know
+// whether they ran.
+func (f *Forwarder) StopBy(ends time.Time) {
+	f.stop.Store(&plannedStop{beganAt: f.Now(), endsAt: ends})
+}
 
-// endsBefore reports that the instance may end before a request does that came
-// long after its stop began.
-func (f *Forwarder) endsBefore(deadline time.Time) bool {
+// mayStopBefore reports whether a planned stop began more than stopAcceptPeriod ago and may
+// end before the deadline of a request.
+func (f *Forwarder) mayStopBefore(deadline time.Time) bool {
 	stop := f.stop.Load()
-	return stop != nil && f.Now().Sub(stop.began) > lateAfter && deadline.After(stop.ends)
+	return stop != nil && f.Now().Sub(stop.beganAt) > stopAcceptPeriod && deadline.After(stop.endsAt)
 }
 
-// service is what an instance keeps of one service.
-type service struct {
+// serviceState is what an instance keeps of one service.
+type serviceState struct {
 	pool  *placement.Pool
 	limit *retrylimit.Limit
 }
 
 type meters struct {
-	accepted, refused, answered, streamed, unknown, left, repeated, resumed metrics.Counter
-	newConns, crashes, cleared                                              metrics.Counter
-	whole, firstEvent, added                                                metrics.Timer
+	accepted, refused, answered, streamed, unknown, clientsGone, retried, resumed metrics.Counter
+	newConns, crashes, cleared                                                    metrics.Counter
+	answerTime, firstEventTime, beforeSendTime                                    metrics.Timer
 }
 
 // New returns a forwarder.
 func New(deps Deps) *Forwarder {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter(name, deps.Metrics) }
 	timer := func(name string) metrics.Timer { return metrics.GetOrRegisterTimer(name, deps.Metrics) }
-	if deps.Lookout == nil {
-		deps.Lookout = httpconn.NewLookout(deps.Conns, deps.Now)
+	if deps.PeerProber == nil {
+		deps.PeerProber = httpconn.NewLookout(deps.Conns, deps.Now)
 	}
 	if deps.Quarantine == nil {
 		deps.Quarantine = quarantine.NewTable("", nil)
 	}
 	return &Forwarder{
-		Deps:     deps,
-		began:    deps.Now(),
-		services: map[string]*service{},
+		Deps:      deps,
+		startedAt: deps.Now(),
+		services:  map[string]*serviceState{},
 		meters: meters{
-			accepted:   counter("forward.accepted"),
-			refused:    counter("forward.refused"),
-			answered:   counter("forward.answered"),
-			streamed:   counter("forward.streamed"),
-			unknown:    counter("forward.unknown"),
-			left:       counter("forward.clients_left"),
-			repeated:   counter("forward.repeated"),
-			resumed:    counter("forward.resumed"),
-			newConns:   counter("forward.new_connections"),
-			crashes:    counter("quarantine.crashes"),
-			cleared:    counter("quarantine.cleared"),
-			whole:      timer("forward.whole"),
-			firstEvent: timer("forward.first_event"),
-			added:      timer("forward.before_sending"),
+			accepted:       counter("forward.accepted"),
+			refused:        counter("forward.refused"),
+			answered:       counter("forward.answered"),
+			streamed:       counter("forward.streamed"),
+			unknown:        counter("forward.unknown"),
+			clientsGone:    counter("forward.clients_left"),
+			retried:        counter("forward.repeated"),
+			resumed:        counter("forward.resumed"),
+			newConns:       counter("forward.new_connections"),
+			crashes:        counter("quarantine.crashes"),
+			cleared:        counter("quarantine.cleared"),
+			answerTime:     timer("forward.whole"),
+			firstEventTime: timer("forward.first_event"),
+			beforeSendTime: timer("forward.before_sending"),
 		},
 	}
 }
 
-func (f *Forwarder) service(name string) *service {
+func (f *Forwarder) serviceState(name string) *serviceState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.services[name]
 	if s == nil {
-		s = &service{
+		s = &serviceState{
 			pool:  placement.NewPool(f.Domain, f.Now),
-			limit: retrylimit.New(f.Retries, f.Instances, f.Now),
+			limit: retrylimit.New(f.Retries, f.NumInstances, f.Now),
 		}
 		f.services[name] = s
 	}
 	return s
 }
 
-// Update brings the configuration's services and the registry's upstreams to the
+// Update passes the configuration's services and the registry's upstreams on to the
 // pools.
 func (f *Forwarder) Update() {
 	table := f.Config.Table()
@@ -191,9 +195,9 @@
 	}
 	for i := range table.Config.Services {
 		s := &table.Config.Services[i]
-		pool := f.service(s.Name).pool
+		pool := f.serviceState(s.Name).pool
 		pool.SetCold(placement.Cold{
-			Limit: f.Cold,
+			Limit: f.ColdLimit,
 			Bound: coldlimit.Bound{PerSecond: s.ColdPerSecond, Overage: f.ColdOverage, Slack: f.ColdSlack},
 			For:   s.ColdFor,
 		})
@@ -201,22 +205,22 @@
 	}
 }
 
-// noUpstreamRetry is when to come back to a service none of whose upstreams is in service.
-func (f *Forwarder) noUpstreamRetry() time.Duration {
+// noUpstreamRetryAfter returns when a client may come back if no upstream is in service.
+func (f *Forwarder) noUpstreamRetryAfter() time.Duration {
 	if len(f.Registry.Emptied()) > 0 {
-		return emptiedRetry
+		return emptiedRetryAfter
 	}
-	return soonRetry
+	return defaultRetryAfter
 }
 
-// Serve takes one request to its answer; ctx ends when the client has left.
+// Serve forwards one request and delivers its answer; ctx ends when the client is gone.
 func (f *Forwarder) Serve(ctx context.Context, r *Request, client Client) {
-	if f.Load != nil {
-		if !f.Load.Begin() {
-			f.refuse(r, client, &Refusal{Reason: Overloaded, RetryAfter: soonRetry, Step: "admit", Err: errOverloaded})
+	if f.Overload != nil {
+		if !f.Overload.Begin() {
+			f.refuse(r, client, &Refusal{Reason: Overloaded, RetryAfter: defaultRetryAfter, Step: "admit", Err: errOverloaded})
 			return
 		}
-		defer f.Load.End()
+		defer f.Overload.End()
 	}
 	call, refusal := f.admit(ctx, r)
 	if refusal != nil {
@@ -227,15 +231,15 @@
 	call.run(ctx)
 }
 
-// admit decides whether the request may be forwarded at all.
+// admit checks whether the request may be forwarded, and reserves its cost.
 func (f *Forwarder) admit(ctx context.Context, r *Request) (*call, *Refusal) {
 	f.awaitSynced(ctx)
 	table := f.Config.Table()
 	if table == nil {
-		if f.StoreUp() {
-			return nil, &Refusal{Reason: NoConfiguration, RetryAfter: startRetry}
+		if f.StoreAvailable() {
+			return nil, &Refusal{Reason: NoConfiguration, RetryAfter: startingRetryAfter}
 		}
-		return nil, &Refusal{Reason: NoConfiguration, RetryAfter: outageRetry}
+		return nil, &Refusal{Reason: NoConfiguration, RetryAfter: outageRetryAfter}
 	}
 	limits := &table.Config.Limits
 	switch {
@@ -256,13 +260,13 @@
 	}
 	target := table.Service(route.Target(r.ID))
 	if target == nil {
-		return nil, &Refusal{Reason: NoUpstream, RetryAfter: soonRetry}
+		return nil, &Refusal{Reason: NoUpstream, RetryAfter: defaultRetryAfter}
 	}
-	c.target, c.service = target, f.service(target.Name)
+	c.target, c.serviceState = target, f.serviceState(target.Name)
 	c.urgent = table.Urgent(route)
 	c.setDeadline()
-	if f.endsBefore(c.deadline) {
-		return nil, &Refusal{Reason: Stopping, RetryAfter: soonRetry}
+	if f.mayStopBefore(c.deadline) {
+		return nil, &Refusal{Reason: Stopping, RetryAfter: defaultRetryAfter}
 	}
 	if refusal := c.refuseCondemned(); refusal != nil {
 		return nil, refusal
@@ -294,7 +298,7 @@
 	client.Refuse(refusal)
 }
 
-// reserve sets the request's highest cost aside.
+// reserve reserves the request's maximum cost.
 func (c *call) reserve(ctx context.Context) *Refusal {
 	if c.account == nil || c.account.PrepaidTokens < 0 || !c.r.Costed {
 		return nil
@@ -311,11 +315,11 @@
 		return &Refusal{Reason: Exhausted, Step: "reserve", Err: err}
 	}
 	if errors.Is(err, prepaid.ErrKept) {
-		return &Refusal{Reason: TokensKept, RetryAfter: outageRetry, Step: "reserve", Err: err}
+		return &Refusal{Reason: TokensKept, RetryAfter: outageRetryAfter, Step: "reserve", Err: err}
 	}
-	wait := outageRetry
+	wait := outageRetryAfter
 	if errors.Is(err, prepaid.ErrBusy) || errors.Is(err, prepaid.ErrTooFew) {
-		wait = shortRetry
+		wait = tokensShortRetryAfter
 	}
 	return &Refusal{Reason: TokensUnsure, RetryAfter: wait, Step: "reserve", Err: err}
 }
--- a/pkg/forward/leaving_test.go
+++ b/pkg/forward/leaving_test.go
@@ -21,7 +21,7 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// plainCodec writes requests as they are and believes every answer.
+// plainCodec writes requests unchanged and accepts every answer as sealed.
 type plainCodec struct{}
 
 // EncodeRequest implements Codec.
@@ -34,19 +34,22 @@
 	return AnswerHead{Status: response.StatusCode, Sealed: true}
 }
 
-// recorder keeps how a request ended.
-type recorder struct {
+// outcomeRecorder records how a request ended.
+type outcomeRecorder struct {
 	status  int
 	refusal *Refusal
 }
 
-func (r *recorder) Answer(status int, _ []Header, _ []byte) error { r.status = status; return nil }
-func (r *recorder) Refuse(refusal *Refusal)                       { r.refusal = refusal }
-func (r *recorder) Begin(int, []Header) error                     { return nil }
-func (r *recorder) Event([]byte) error                            { return nil }
-func (r *recorder) Abort()                                        {}
+func (r *outcomeRecorder) Answer(status int, _ []Header, _ []byte) error {
+	r.status = status
+	return nil
+}
+func (r *outcomeRecorder) Refuse(refusal *Refusal)   { r.refusal = refusal }
+func (r *outcomeRecorder) Begin(int, []Header) error { return nil }
+func (r *outcomeRecorder) Event([]byte) error        { return nil }
+func (r *outcomeRecorder) Abort()                    {}
 
-// countingUpstream serves, and counts what it has served.
+// countingUpstream starts an upstream that counts the requests that it serves, and returns its address.
 func countingUpstream(t *testing.T, served *atomic.Int32) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
@@ -54,10 +57,10 @@
 	return server.Listener.Addr().(*net.TCPAddr).String()
 }
 
-// A request reaches an upstream after this instance had read that it leaves: the upstream was
-// chosen, it left while the connection to it was being set up, and nothing looked at it again
-// before the request went out. Proof: a request whose upstream leaves between the two is served
-// by another one, once, and the first gets nothing.
+// Guards against sending a request to an upstream that has announced that it is leaving: the upstream
+// was chosen, it left while the connection to it was being set up, and its state was not checked
+// again before the request was sent. A request whose upstream leaves in between must be served once,
+// by another upstream, and the first one must get nothing.
 func TestUpstreamThatLeavesBeforeTheSendingGetsNothing(t *testing.T) {
 	var leavingServed, stayingServed atomic.Int32
 	leaving := registry.Upstream{ID: "leaving", Service: "jobs", Address: countingUpstream(t, &leavingServed)}
@@ -78,21 +81,21 @@
 		Config: config, Registry: upstreams, Codec: plainCodec{}, Conns: httpconn.NewPool(time.Now),
 		Log: eventlog.New("test", io.Discard), Metrics: metrics.NewRegistry(),
 		Retries: retrylimit.Settings{Window: 10 * time.Second},
-		// Asked for between the choice and the connection.
-		Instances: func() int {
+		// Called between choosing the upstream and connecting to it.
+		NumInstances: func() int {
 			leaving.Leaving = true
 			upstreams.Put(leaving)
 			upstreams.Put(staying)
 			f.Update()
 			return 1
 		},
-		StoreUp: func() bool { return true }, Now: time.Now,
+		StoreAvailable: func() bool { return true }, Now: time.Now,
 	})
 	f.Update()
-	outcome := &recorder{}
+	outcome := &outcomeRecorder{}
 	f.Serve(context.Background(), &Request{ID: "1", Method: "POST", Target: "/", Host: "h", Path: "/", Arrived: time.Now()}, outcome)
 	if leavingServed.Load() != 0 || stayingServed.Load() != 1 || outcome.status != http.StatusOK {
-		t.Errorf("leaving served %d, the other %d, status %d, refusal %+v",
+		t.Errorf("upstream that left served %d, the other %d, status %d, refusal %+v",
 			leavingServed.Load(), stayingServed.Load(), outcome.status, outcome.refusal)
 	}
 }
--- a/pkg/forward/refusal.go
+++ b/pkg/forward/refusal.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Reason says why the system ends a request itself.
+// Reason says why this instance, not an upstream, ends a request.
 type Reason string
 
-// The reasons. Those up to Suspected are given only to requests of which no
-// attempt may have run.
+// The reasons. Those up to Suspected are given only to requests none of whose attempts
+// may have run.
 const (
 	NoConfiguration Reason = "no-configuration"
 	NoRoute         Reason = "no-route"
@@ -19,12 +19,12 @@
 	BodyTooLarge    Reason = "body-too-large"
 	Exhausted       Reason = "prepaid-exhausted"
 	TokensUnsure    Reason = "tokens-not-reachable"
-	// TokensKept means that what is left of the account is kept for urgent requests.
+	// TokensKeptForUrgent means that the account's remaining tokens are kept for urgent requests.
 	TokensKept    Reason = "tokens-kept-for-urgent"
 	NoUpstream    Reason = "no-upstream"
 	Overloaded    Reason = "overloaded"
 	NotRunTimeout Reason = "not-run-in-time"
-	// Stopping means that the instance ends before the request might.
+	// Stopping means that the instance may end before the request does.
 	Stopping Reason = "instance-stopping"
 	// Quarantined means that the request crashed the upstreams that ran it and does not run
 	// again, however often it is sent.
@@ -32,20 +32,20 @@
 	// Suspected means that the request may have crashed an upstream, and that equal ones run
 	// one at a time.
 	Suspected Reason = "suspected"
-	// Unknown means that an attempt failed and may have run.
+	// OutcomeUnknown means that an attempt failed and may have run.
 	Unknown Reason = "outcome-unknown"
-	// Timeout means that time ran out on an attempt that may have run.
+	// Timeout means that the deadline passed during an attempt that may have run.
 	Timeout Reason = "timeout"
 )
 
-// Refusal is an answer of the system's own.
+// Refusal is an answer that this instance gives instead of an upstream.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter tells when to come back; 0 for nothing to tell.
+	// RetryAfter is when the client may retry; 0 if unspecified.
 	RetryAfter time.Duration
-	// Step and Peer say where the request failed; empty if nowhere.
+	// Step and Peer say where the request failed; empty if this instance decided to refuse it.
 	Step, Peer string
-	// Err is the cause; nil for a decision of the system's own.
+	// Err is the cause; nil if the reason says all.
 	Err error
 }
 
--- a/pkg/forward/starting.go
+++ b/pkg/forward/starting.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// startPatience is how long after its start an instance lets requests wait for the configuration and
-// the upstreams, which others, or the store, hand over within some hundred milliseconds. A client whose
-// request is refused meanwhile has used one of its few tries, and after a start of all it meets the
-// same elsewhere. An instance that has neither by then may not get them for long.
-const startPatience = 700 * time.Millisecond
+// maxSyncWait is how long after its start an instance lets requests wait for the configuration and
+// the upstreams, which other instances or the store send within a few hundred milliseconds. A client whose
+// request is refused meanwhile has used one of its few tries, and if all instances start at once the others
+// would refuse it too. An instance that has neither by then may not get them for a long time.
+const maxSyncWait = 700 * time.Millisecond
 
-// awaitSynced waits until a starting instance can serve, for startPatience from its start at most.
+// awaitSynced waits until a starting instance can serve, for at most maxSyncWait from its start.
 func (f *Forwarder) awaitSynced(ctx context.Context) {
 	if f.Synced == nil {
 		return
@@ -21,15 +21,15 @@
 		return
 	default:
 	}
-	left := startPatience - f.Now().Sub(f.began)
-	if left <= 0 {
+	remaining := maxSyncWait - f.Now().Sub(f.startedAt)
+	if remaining <= 0 {
 		return
 	}
-	patience := time.NewTimer(left)
-	defer patience.Stop()
+	timer := time.NewTimer(remaining)
+	defer timer.Stop()
 	select {
 	case <-f.Synced:
-	case <-patience.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
--- a/pkg/forward/starting_test.go
+++ b/pkg/forward/starting_test.go
@@ -15,29 +15,30 @@
 	"github.com/lavenderring/lavenderring/pkg/routing"
 )
 
-// The first meter starts a goroutine that never ends, which must not belong to a test in virtual time.
+// The first meter starts a goroutine that never ends. It must not be started within a synctest bubble,
+// which would wait for it.
 var _ = metrics.NewMeter()
 
-// startingForwarder is that of an instance that has just started.
+// startingForwarder returns the forwarder of an instance that has just started.
 func startingForwarder(synced chan struct{}, config *routing.State) *Forwarder {
 	return New(Deps{
 		Config: config, Registry: registry.New(time.Now), Codec: plainCodec{}, Conns: httpconn.NewPool(time.Now),
 		Log: eventlog.New("test", io.Discard), Metrics: metrics.NewRegistry(), Synced: synced,
-		Instances: func() int { return 1 }, StoreUp: func() bool { return true }, Now: time.Now,
+		NumInstances: func() int { return 1 }, StoreAvailable: func() bool { return true }, Now: time.Now,
 	})
 }
 
-// serveAt sends one request and returns why it was refused, and how long that took.
-func serveAt(f *Forwarder) (Reason, time.Duration) {
-	outcome := &recorder{}
+// serveOne sends one request and returns why it was refused, and how long that took.
+func serveOne(f *Forwarder) (Reason, time.Duration) {
+	outcome := &outcomeRecorder{}
 	began := time.Now()
 	r := &Request{ID: "1", Method: "POST", Target: "/", Host: "h", Path: "/", Arrived: began}
 	f.Serve(context.Background(), r, outcome)
 	return outcome.refusal.Reason, time.Since(began)
 }
 
-// Guards against a start of all whose first requests are refused, and have used up their callers'
-// tries, though each instance has its configuration a moment later.
+// Guards against refusing the first requests after all instances have started at once: the refusals
+// use up the clients' tries, though each instance has its configuration a moment later.
 func TestRequestsWaitForTheConfigurationOfAStartingInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const comesAfter = 300 * time.Millisecond
@@ -47,23 +48,23 @@
 			config.Apply(&routing.Config{Version: 1}, time.Now())
 			close(synced)
 		})
-		reason, took := serveAt(f)
+		reason, took := serveOne(f)
 		if reason != NoRoute || took != comesAfter { // a configuration without routes
 			t.Errorf("refused for %s after %s", reason, took)
 		}
 	})
 }
 
-// Guards against requests that wait at an instance which cannot serve: the store is away, and nobody
-// hands the configuration over.
+// Guards against requests that wait at an instance which cannot serve: the store is unavailable, and
+// no other instance sends the configuration. Requests may wait only until maxSyncWait after the start.
 func TestInstanceThatStaysWithoutConfigurationRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startingForwarder(make(chan struct{}), &routing.State{})
-		if reason, took := serveAt(f); reason != NoConfiguration || took > startPatience {
-			t.Errorf("the first is refused for %s after %s", reason, took)
+		if reason, took := serveOne(f); reason != NoConfiguration || took > maxSyncWait {
+			t.Errorf("the first request was refused for %s after %s", reason, took)
 		}
-		if reason, took := serveAt(f); reason != NoConfiguration || took != 0 {
-			t.Errorf("the next one is refused for %s after %s", reason, took)
+		if reason, took := serveOne(f); reason != NoConfiguration || took != 0 {
+			t.Errorf("the next request was refused for %s after %s", reason, took)
 		}
 	})
 }
--- a/pkg/forward/stream.go
+++ b/pkg/forward/stream.go
@@ -14,55 +14,55 @@
 
 // Bounds of a stream.
 const (
-	// readBytes is the size of one read of a stream.
-	readBytes = 8 << 10
+	// streamReadBytes is the size of one read of a stream.
+	streamReadBytes = 8 << 10
 	// maxEventBytes bounds one event.
 	maxEventBytes = 1 << 20
 )
 
-// stream forwards whole events as they come.
-func (a *attempt) stream(response *http.Response, head *AnswerHead) *failure {
+// deliverStream delivers complete events as they arrive.
+func (a *attempt) deliverStream(response *http.Response, head *AnswerHead) *failure {
 	var rest []byte
-	buffer := make([]byte, readBytes)
+	buffer := make([]byte, streamReadBytes)
 	for {
-		a.setSilence()
+		a.setSilenceDeadline()
 		n, err := response.Body.Read(buffer)
 		rest = append(rest, buffer[:n]...)
-		whole := wholeEvents(rest)
+		whole := completeEventsLen(rest)
 		if whole > 0 {
-			if failed := a.forward(rest[:whole], head); failed != nil {
+			if failed := a.deliverEvents(rest[:whole], head); failed != nil {
 				return failed
 			}
 			rest = append(rest[:0], rest[whole:]...)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return a.streamEnd(response, head, rest)
+			return a.finishStream(response, head, rest)
 		case err != nil:
-			return a.streamBroken(err)
+			return a.streamFailed(err)
 		case len(rest) > maxEventBytes:
-			return a.unknown("stream", errBroken)
+			return a.outcomeUnknown("stream", errIncomplete)
 		}
 	}
 }
 
-// setSilence bounds the wait for the next piece where the stream can go on
-// elsewhere.
-func (a *attempt) setSilence() {
+// setSilenceDeadline bounds the wait for the next data if the stream can be resumed at
+// another upstream.
+func (a *attempt) setSilenceDeadline() {
 	c := a.c
 	deadline := c.deadline
-	if c.route.Resumable && c.sent < c.route.MaxAttempts {
+	if c.route.Resumable && c.numSent < c.route.MaxAttempts {
 		silence := silenceFactor * max(c.route.Pause, c.route.Objective)
-		if early := c.f.Now().Add(silence); early.Before(deadline) {
-			deadline = early
+		if earlier := c.f.Now().Add(silence); earlier.Before(deadline) {
+			deadline = earlier
 		}
 	}
 	a.conn.SetDeadline(deadline)
 }
 
-// wholeEvents returns the length of the whole events at the beginning; an event
-// ends with an empty line.
-func wholeEvents(data []byte) int {
+// completeEventsLen returns the length of the complete events at the beginning of data; an
+// event ends with an empty line.
+func completeEventsLen(data []byte) int {
 	end := 0
 	if i := bytes.LastIndex(data, []byte("\n\n")); i >= 0 {
 		end = i + len("\n\n")
@@ -73,25 +73,25 @@
 	return end
 }
 
-// forward delivers whole events, with the answer's head before the first.
-func (a *attempt) forward(events []byte, head *AnswerHead) *failure {
+// deliverEvents delivers complete events, and the answer's head before the first.
+func (a *attempt) deliverEvents(events []byte, head *AnswerHead) *failure {
 	c := a.c
-	events, count, last := unseen(events, c.lastEventID)
+	events, count, last := dropDelivered(events, c.lastEventID)
 	if count == 0 {
 		return nil
 	}
 	if !c.begun {
 		c.begun = true
-		c.f.meters.firstEvent.Update(c.f.Now().Sub(c.r.Arrived))
+		c.f.meters.firstEventTime.Update(c.f.Now().Sub(c.r.Arrived))
 		if err := c.client.Begin(head.Status, head.Header); err != nil {
-			return &failure{step: "deliver", err: err, final: true}
+			return &failure{step: "deliver", err: err, noRetry: true}
 		}
 	}
-	c.pace.event(c.f.Now(), c.r.Arrived)
-	a.place.FirstEvent()
-	c.events += count // what may have reached the client is billed
+	c.timing.recordEvent(c.f.Now(), c.r.Arrived)
+	a.lease.FirstEvent()
+	c.numEvents += count // before the write: events that may have reached the client are billed
 	if err := c.client.Event(events); err != nil {
-		return &failure{step: "deliver", err: err, final: true}
+		return &failure{step: "deliver", err: err, noRetry: true}
 	}
 	if last != "" {
 		c.lastEventID = last
@@ -99,18 +99,18 @@
 	return nil
 }
 
-// unseen drops the events up to the one that the client has, and returns the
+// dropDelivered drops the events up to the last one that the client has, and returns the
 // rest, their number and the last id among them. An upstream that resumes a
-// stream may begin with the event it is to go on behind.
-func unseen(events []byte, have string) (rest []byte, count int64, last string) {
-	limit, limited := number(have)
+// stream may repeat the event after which it is to continue.
+func dropDelivered(events []byte, have string) (rest []byte, count int64, last string) {
+	limit, limited := parseEventNumber(have)
 	rest = events
 	for len(events) > 0 {
-		size := firstEvent(events)
+		size := firstEventLen(events)
 		event := events[:size]
 		events = events[size:]
 		id := eventID(event)
-		if n, numbered := number(id); limited && numbered && n <= limit {
+		if n, numbered := parseEventNumber(id); limited && numbered && n <= limit {
 			rest = events
 			continue
 		}
@@ -122,13 +122,13 @@
 	return rest, count, last
 }
 
-func number(id string) (uint64, bool) {
+func parseEventNumber(id string) (uint64, bool) {
 	n, err := strconv.ParseUint(id, 10, 64)
 	return n, err == nil
 }
 
-// firstEvent returns the length of the first event of whole events.
-func firstEvent(events []byte) int {
+// firstEventLen returns the length of the first of one or more complete events.
+func firstEventLen(events []byte) int {
 	size := len(events)
 	if i := bytes.Index(events, []byte("\n\n")); i >= 0 {
 		size = i + len("\n\n")
@@ -149,45 +149,45 @@
 	return ""
 }
 
-// streamEnd is the orderly end of the answer. Bytes behind the last event mean
-// that it broke off within one.
-func (a *attempt) streamEnd(response *http.Response, head *AnswerHead, rest []byte) *failure {
+// finishStream handles the end of the answer. Bytes after the last complete event mean
+// that the answer broke off within an event.
+func (a *attempt) finishStream(response *http.Response, head *AnswerHead, rest []byte) *failure {
 	if len(rest) > 0 {
-		return a.unknown("stream", errBroken)
+		return a.outcomeUnknown("stream", errIncomplete)
 	}
 	c := a.c
 	if !c.begun { // a success without any event
 		if err := c.client.Begin(head.Status, head.Header); err != nil {
-			return &failure{step: "deliver", err: err, final: true}
+			return &failure{step: "deliver", err: err, noRetry: true}
 		}
 		c.begun = true
 	}
 	if !response.Close {
-		a.reuse = head.KeepFor
+		a.keepFor = head.KeepFor
 	}
 	took := c.f.Now().Sub(c.r.Arrived)
 	c.f.meters.streamed.Inc(1)
-	c.f.meters.whole.Update(took)
+	c.f.meters.answerTime.Update(took)
 	fields := eventlog.Fields{
-		"status": head.Status, "events": c.events, "took_ms": took.Milliseconds(), "sent": c.sent,
+		"status": head.Status, "events": c.numEvents, "took_ms": took.Milliseconds(), "sent": c.numSent,
 	}
-	c.pace.tell(fields)
+	c.timing.addFields(fields)
 	c.f.Log.Event(eventlog.RequestRan, c.r.ID, fields)
 	return nil
 }
 
-// streamBroken is a stream that did not end in order. One that may be resumed
-// goes on at another upstream behind the last event that was delivered.
-func (a *attempt) streamBroken(err error) *failure {
-	failed := a.broken("stream", err)
+// streamFailed returns the failure of a stream that broke off. If the route allows it, the
+// stream is resumed at another upstream after the last event that was delivered.
+func (a *attempt) streamFailed(err error) *failure {
+	failed := a.connFailed("stream", err)
 	var netErr net.Error
-	if errors.As(err, &netErr) && netErr.Timeout() && a.c.remaining() <= leastAttemptTime {
-		failed.final = true
+	if errors.As(err, &netErr) && netErr.Timeout() && a.c.remaining() <= minAttemptTime {
+		failed.noRetry = true
 	}
 	if a.c.begun && !(a.c.route.Kind == routing.Stream && a.c.route.Resumable) {
-		failed.final = true
+		failed.noRetry = true
 	}
-	if a.c.begun && !failed.final {
+	if a.c.begun && !failed.noRetry {
 		a.c.f.meters.resumed.Inc(1)
 	}
 	return failed
--- a/pkg/httpconn/lookout.go
+++ b/pkg/httpconn/lookout.go
@@ -31,9 +31,9 @@
 	SilentPeer PeerState = "silent"
 )
 
-// Lookout tells crashed peers from connections that end, looking once for all that end together.
+// PeerProber tells crashed peers from connections that end, looking once for all that end together.
 // It is safe for concurrent use.
-type Lookout struct {
+type PeerProber struct {
 	pool *Pool
 	now  func() time.Time
 
@@ -48,12 +48,12 @@
 }
 
 // NewLookout returns a lookout that keeps the connections it opens in a pool; nil for none.
-func NewLookout(pool *Pool, now func() time.Time) *Lookout {
-	return &Lookout{pool: pool, now: now, looks: map[string]*look{}}
+func NewLookout(pool *Pool, now func() time.Time) *PeerProber {
+	return &PeerProber{pool: pool, now: now, looks: map[string]*look{}}
 }
 
 // Look tells what became of the peer at an address, within lookTimeout.
-func (l *Lookout) Look(address string) PeerState {
+func (l *PeerProber) Look(address string) PeerState {
 	l.mu.Lock()
 	l.forget()
 	present := l.looks[address]
@@ -70,7 +70,7 @@
 	return present.state
 }
 
-func (l *Lookout) dial(address string) PeerState {
+func (l *PeerProber) dial(address string) PeerState {
 	conn, err := Dial(context.Background(), address, lookTimeout)
 	switch {
 	case err == nil:
@@ -84,7 +84,7 @@
 }
 
 // keep has the connection serve a request, so that the look costs nothing.
-func (l *Lookout) keep(conn *Conn) {
+func (l *PeerProber) keep(conn *Conn) {
 	if l.pool == nil {
 		conn.Close()
 		return
@@ -94,7 +94,7 @@
 }
 
 // forget drops the looks that stand for nothing any more; l.mu is held. Few peers crash at a time.
-func (l *Lookout) forget() {
+func (l *PeerProber) forget() {
 	for address, look := range l.looks {
 		if l.now().Sub(look.began) >= lookHolds {
 			delete(l.looks, address)
--- a/pkg/router/domains.go
+++ b/pkg/router/domains.go
@@ -13,7 +13,7 @@
 		number := eventlog.DomainRestored
 		if change.Emptied {
 			number = eventlog.DomainEmptied
-			if sent, ever := r.forward.LastSentTo(change.Domain); ever {
+			if sent, ever := r.forward.SinceLastSent(change.Domain); ever {
 				fields["last_sent_ms_ago"] = sent.Milliseconds()
 			}
 		}
--- a/pkg/router/members.go
+++ b/pkg/router/members.go
@@ -10,7 +10,7 @@
 // readings tells what this instance has learned of the engines.
 func (r *Router) readings() []*memberpb.Reading {
 	var out []*memberpb.Reading
-	for service, reading := range r.forward.Readings() {
+	for service, reading := range r.forward.PrefillStats() {
 		out = append(out, &memberpb.Reading{
 			Service:         service,
 			TokensPerSecond: reading.TokensPerSecond,
@@ -25,7 +25,7 @@
 // learned takes in what another instance has learned.
 func (r *Router) learned(from string, readings []*memberpb.Reading) {
 	for _, m := range readings {
-		r.forward.Learn(from, m.Service, placement.Reading{
+		r.forward.RecordPeerStats(from, m.Service, placement.Reading{
 			TokensPerSecond: m.TokensPerSecond,
 			Answers:         m.Answers,
 			All:             m.AllTokens,
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -216,23 +216,23 @@
 		Conns:    r.conns,
 		Log:      r.log,
 		Metrics:  r.metrics,
-		Load:     r.load,
+		Overload: r.load,
 
-		Cold:        r.cold,
+		ColdLimit:   r.cold,
 		ColdOverage: r.settings.ColdOverage,
 		ColdSlack:   r.settings.ColdSlack,
 
-		Lookout:    httpconn.NewLookout(r.conns, time.Now),
+		PeerProber: httpconn.NewLookout(r.conns, time.Now),
 		Quarantine: r.quarantine.Table(),
 		Retries: retrylimit.Settings{
 			Ratio:  r.settings.RetryRatio,
 			Extra:  r.settings.RetryExtra,
 			Window: r.settings.RetryWindow(),
 		},
-		Instances: r.table.CountLive,
-		Synced:    r.synced,
-		StoreUp:   r.tie.Up,
-		Now:       time.Now,
+		NumInstances:   r.table.CountLive,
+		Synced:         r.synced,
+		StoreAvailable: r.tie.Up,
+		Now:            time.Now,
 	})
 }
 
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -74,8 +74,8 @@
 try each-kind-of-change-in-time pkg/follow/timing.go 's/t\.Last = min\(mostLast, bound-reserved-t\.Hedge\)/t.Last = mostLast + 0*reserved/' platform TestLastInstanceHasEachKindOfChangeInTime
 try lost-calls-are-made-again pkg/follow/hedge.go 's/timer := time\.NewTimer\(after\)/timer := time.NewTimer(time.Hour)/' pkg/follow TestLastInstanceToKnowKnowsInTime
 try unheard-ask-others pkg/follow/publisher.go 's/p\.askSome\(ctx, name\)/_ = name/' pkg/follow TestLostConfirmationsCostTheStoreNothing
-try starting-instances-let-wait pkg/forward/starting.go 's/if left <= 0 \{/if left < time.Hour {/' pkg/forward TestRequestsWaitForTheConfigurationOfAStartingInstance
-try place-is-looked-at-again pkg/forward/attempt.go 's/if !a\.place\.InService\(\) \{/if false {/' pkg/forward TestUpstreamThatLeavesBeforeTheSendingGetsNothing
+try starting-instances-let-wait pkg/forward/starting.go 's/if remaining <= 0 \{/if remaining < time.Hour {/' pkg/forward TestRequestsWaitForTheConfigurationOfAStartingInstance
+try place-is-looked-at-again pkg/forward/attempt.go 's/if !a\.lease\.InService\(\) \{/if false {/' pkg/forward TestUpstreamThatLeavesBeforeTheSendingGetsNothing
 try copies-are-guarded pkg/follow/guard.go 's/timeout := f\.confirmTimeout\(\)\n\t\treason/timeout := time.Hour\n\t\treason/' pkg/follow TestCopiesAreNeverOldOnceTheStoreAnswers
 try published-change-is-awaited pkg/follow/freshness.go 's/if !s\.since\.Before\(s\.published\) \{\n\t\treturn Unconfirmed/if true {\n\t\treturn Unconfirmed/' pkg/follow TestChangeThatNobodyHandsOnIsReadFromTheStore
 try confirmations-are-sent pkg/follow/publisher.go 's/err := p\.peers\.Confirm\(ctx, address, confirmation\)/err := error(nil)/' pkg/follow TestCallsOfACalmFleetDoNotGrowWithIt
