--- a/pkg/forward/call.go
+++ b/pkg/forward/call.go
@@ -34,7 +34,8 @@
 	mayHaveRun bool
 	// earlierMayHaveRun says the same of the attempts before the current one.
 	earlierMayHaveRun bool
-	tried             []string
+	// tried holds the ids of the upstreams that are not chosen again.
+	tried []string
 	// upstreamFailure is the last answer with a server error; it is passed on if no other
 	// attempt succeeds.
 	upstreamFailure *wholeAnswer
--- a/pkg/router/admin.go
+++ b/pkg/router/admin.go
@@ -13,30 +13,30 @@
 	"github.com/lavenderring/lavenderring/pkg/life"
 )
 
-// percentiles are shown of each timer.
+// percentiles lists the percentiles that are shown of each timer.
 var percentiles = []float64{0.5, 0.9, 0.99}
 
-func (r *Router) adminRoutes() {
-	r.ready.GET(r.platform.ReadyPath, r.isReady)
-	r.admin.GET("/healthz", func(_ context.Context, c *app.RequestContext) { c.SetStatusCode(consts.StatusOK) })
-	r.admin.GET("/metrics", r.showMetrics)
-	r.admin.GET("/quarantine", r.quarantine.ServeList)
-	r.admin.POST("/quarantine/release", r.quarantine.ServeRelease)
+func (r *Router) registerAdminRoutes() {
+	r.readyServer.GET(r.platform.ReadyPath, r.serveReady)
+	r.adminServer.GET("/healthz", func(_ context.Context, c *app.RequestContext) { c.SetStatusCode(consts.StatusOK) })
+	r.adminServer.GET("/metrics", r.serveMetrics)
+	r.adminServer.GET("/quarantine", r.quarantine.ServeList)
+	r.adminServer.POST("/quarantine/release", r.quarantine.ServeRelease)
 }
 
-func (r *Router) isReady(_ context.Context, c *app.RequestContext) {
-	if r.State() != life.Ready || r.load.Overloaded() {
+func (r *Router) serveReady(_ context.Context, c *app.RequestContext) {
+	if r.State() != life.Ready || r.overloadLimit.Overloaded() {
 		c.SetStatusCode(consts.StatusServiceUnavailable)
 		return
 	}
 	c.SetStatusCode(consts.StatusOK)
 }
 
-// showMetrics writes counters, gauges and timers as text, one value a line.
+// serveMetrics writes counters, gauges and timers as text, one value per line.
 // Times are in milliseconds.
-func (r *Router) showMetrics(_ context.Context, c *app.RequestContext) {
+func (r *Router) serveMetrics(_ context.Context, c *app.RequestContext) {
 	gauge := func(name string, value int64) { metrics.GetOrRegisterGauge(name, r.metrics).Update(value) }
-	gauge("requests.active", r.door.Active())
+	gauge("requests.active", r.clientServer.Active())
 	gauge("members.live", int64(r.table.CountLive()))
 	if age, known := r.eraAge(); known {
 		gauge("store.era_age_s", int64(age.Seconds()))
@@ -56,12 +56,12 @@
 	gauge("peers.bytes_in", r.traffic.In.Load())
 	gauge("peers.bytes_out", r.traffic.Out.Load())
 	var lines []string
-	r.metrics.Each(func(name string, metric any) { lines = append(lines, describe(name, metric)...) })
+	r.metrics.Each(func(name string, metric any) { lines = append(lines, formatMetric(name, metric)...) })
 	sort.Strings(lines)
 	c.String(consts.StatusOK, strings.Join(lines, "\n")+"\n")
 }
 
-func describe(name string, metric any) []string {
+func formatMetric(name string, metric any) []string {
 	label := strings.ReplaceAll(name, ".", "_")
 	switch m := metric.(type) {
 	case metrics.Counter:
--- /dev/null
+++ b/pkg/router/background.go
@@ -0,0 +1,227 @@
+package router
+
+import (
+	"context"
+	"time"
+
+	"github.com/lavenderring/lavenderring/pkg/eventlog"
+	"github.com/lavenderring/lavenderring/pkg/pause"
+	"github.com/lavenderring/lavenderring/pkg/routing"
+)
+
+// Intervals of the background tasks.
+const (
+	// tokenTickInterval is how often tokens are drawn ahead and returned.
+	tokenTickInterval = 500 * time.Millisecond
+	// housekeepInterval is how often idle connections are closed and upstreams
+	// removed that did not come back.
+	housekeepInterval = 200 * time.Millisecond
+	// statusInterval is how often an instance logs its counters.
+	statusInterval = 10 * time.Second
+	// syncCheckInterval is how often a starting instance checks whether it can serve.
+	syncCheckInterval = 20 * time.Millisecond
+	// loadLogInterval is how often a change of the overload state is looked for and logged.
+	loadLogInterval = 500 * time.Millisecond
+	// memberLogInterval is how often members that joined or left are logged.
+	memberLogInterval = time.Second
+)
+
+// Times of a planned stop.
+const (
+	// unreadyPeriod is how long a stopping instance still accepts connections: the load
+	// balancer checks readiness each second and stops sending here after two failed checks.
+	unreadyPeriod = 3500 * time.Millisecond
+	// tokenReturnTimeout is the part of the grace period that is reserved for returning
+	// tokens.
+	tokenReturnTimeout = 700 * time.Millisecond
+	// answerFlushTime is how long answers have to be written out after their handlers have
+	// returned, before connections are closed.
+	answerFlushTime = 100 * time.Millisecond
+	// drainCheckInterval is how often the requests in progress are counted.
+	drainCheckInterval = 20 * time.Millisecond
+)
+
+// Run serves until ctx ends, then shuts down gracefully: the instance is unready at once,
+// requests in progress finish, and tokens are returned.
+func (r *Router) Run(ctx context.Context) error {
+	r.adminServer.Serve()
+	r.readyServer.Serve()
+	r.clientServer.Serve()
+	r.startBackgroundTasks()
+	if r.awaitSync(ctx) {
+		r.lifecycle.Synced()
+		<-ctx.Done()
+	}
+	r.stop()
+	return nil
+}
+
+// awaitSync waits for a configuration, the upstreams and the emptied domains; it reports false if ctx
+// ended first.
+func (r *Router) awaitSync(ctx context.Context) bool {
+	for r.config.Table() == nil || !r.registry.Synced() || !r.registry.SyncedEmptied() {
+		if !pause.For(ctx, syncCheckInterval) {
+			return false
+		}
+	}
+	close(r.synced)
+	return r.awaitQuarantine(ctx)
+}
+
+// startBackgroundTasks starts a goroutine for each background task.
+func (r *Router) startBackgroundTasks() {
+	r.runInBackground(func(ctx context.Context) { _ = r.peerServer.Serve(ctx) })
+	for _, follower := range r.followers {
+		r.runInBackground(follower.Run)
+	}
+	r.runInBackground(r.publisher.Run)
+	r.runInBackground(r.discovery.Run)
+	r.runInBackground(r.gossip.Run)
+	r.runInBackground(r.quarantine.Run)
+	r.runInBackground(r.quarantine.Spread)
+	r.runInBackground(r.recoverVerdicts)
+	r.runEvery(memberLogInterval, r.logMemberChanges)
+	r.runEvery(loadLogInterval, r.logOverload)
+	r.runEvery(tokenTickInterval, r.tokens.Tick)
+	r.runEvery(housekeepInterval, r.housekeep)
+	r.runEvery(statusInterval, r.logStatus)
+}
+
+func (r *Router) runInBackground(run func(context.Context)) {
+	r.backgroundTasks.Add(1)
+	go func() {
+		defer r.backgroundTasks.Done()
+		run(r.backgroundCtx)
+	}()
+}
+
+// runEvery runs a background task repeatedly, with a pause before each run.
+func (r *Router) runEvery(interval time.Duration, run func(context.Context)) {
+	r.runInBackground(func(ctx context.Context) {
+		for pause.For(ctx, interval) {
+			run(ctx)
+		}
+	})
+}
+
+// applyConfig puts a configuration into force if it is newer.
+func (r *Router) applyConfig(config *routing.Config) {
+	if !r.config.Apply(config, time.Now()) {
+		return
+	}
+	r.forward.Update()
+	r.log.Event(eventlog.ConfigInForce, "", eventlog.Fields{
+		"version": config.Version, "routes": len(config.Routes), "accounts": len(config.Accounts),
+	})
+}
+
+// upstreamsChanged passes the registry's upstreams on to the pools.
+func (r *Router) upstreamsChanged() {
+	for _, address := range r.registry.TakeRestarted() {
+		r.conns.Forget(address)
+	}
+	for _, before := range r.registry.TakeSuperseded() {
+		r.quarantine.Table().Ended(before.Address, before.Incarnation, before.Gone)
+	}
+	r.forward.Update()
+	r.logUpstreamsLeft()
+}
+
+// maxNamedUpstreams bounds the upstreams that one log event names.
+const maxNamedUpstreams = 8
+
+// logUpstreamsLeft logs from when on this instance sends nothing new to upstreams that left.
+// Operators compare this with the time at which the upstreams announced it.
+func (r *Router) logUpstreamsLeft() {
+	left := r.registry.TakeLeft()
+	if len(left) == 0 {
+		return
+	}
+	fields := eventlog.Fields{"count": len(left), "upstreams": left[:min(len(left), maxNamedUpstreams)]}
+	if age, read := r.followers[copyUpstreams].Age(); read {
+		fields["copy_age_ms"] = age.Milliseconds()
+	}
+	r.log.Event(eventlog.UpstreamsLeft, "", fields)
+}
+
+func (r *Router) housekeep(context.Context) {
+	r.coldLimit.Observe()
+	r.conns.Sweep()
+	for name, follower := range r.followers {
+		r.ageMonitor.Look(name, follower)
+	}
+	if r.registry.ExpireEmptied() {
+		r.domainsChanged()
+	}
+	if gone := r.registry.Expire(); len(gone) > 0 {
+		for _, address := range gone {
+			r.conns.Forget(address)
+		}
+		r.forward.Update()
+		r.logUpstreamsLeft()
+	}
+}
+
+// logStatus logs counters, so that the log alone shows how a process has fared.
+func (r *Router) logStatus(context.Context) {
+	fields := eventlog.Fields{"active": r.clientServer.Active(), "members": r.table.CountLive()}
+	for name, value := range r.platform.StoreCalls(r.store) {
+		fields["store_"+name] = value
+	}
+	for name, age := range r.copyAges() {
+		fields[name+"_age_ms"] = age
+	}
+	if age, known := r.eraAge(); known {
+		fields["store_era"], fields["store_era_age_s"] = r.storeEra.Load(), int64(age.Seconds())
+	}
+	if domains := r.registry.Emptied(); len(domains) > 0 {
+		fields["emptied_domains"] = domains
+	}
+	if watched := r.quarantine.Summary(); watched.Suspected+watched.Condemned > 0 {
+		fields["quarantine_suspected"], fields["quarantine_condemned"] = watched.Suspected, watched.Condemned
+	}
+	if table := r.config.Table(); table != nil {
+		fields["config_version"] = table.Config.Version
+	}
+	r.log.Event(eventlog.InstanceStatus, "", fields)
+}
+
+// logOverload logs when the instance becomes overloaded and when the overload ends.
+func (r *Router) logOverload(context.Context) {
+	if overloaded := r.overloadLimit.Overloaded(); overloaded != r.loggedOverloaded {
+		r.loggedOverloaded = overloaded
+		r.log.Event(eventlog.InstanceOverload, "", eventlog.Fields{"overloaded": overloaded, "active": r.clientServer.Active()})
+	}
+}
+
+func (r *Router) logMemberChanges(context.Context) { r.memberLogger.Look(r.table, r.log) }
+
+// stop shuts the instance down within the grace period.
+func (r *Router) stop() {
+	began := time.Now()
+	r.lifecycle.Stop()
+	deadline := began.Add(r.settings.Grace() - tokenReturnTimeout)
+	r.forward.StopBy(deadline)
+	r.clientServer.Drain()
+	r.table.MarkLeaving()
+	for time.Now().Before(deadline) {
+		if r.clientServer.Active() == 0 && time.Since(began) >= unreadyPeriod {
+			break
+		}
+		pause.For(context.Background(), drainCheckInterval)
+	}
+	r.clientServer.Refuse()
+	for r.clientServer.Active() > 0 && time.Now().Before(deadline) {
+		pause.For(context.Background(), drainCheckInterval)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), tokenReturnTimeout-answerFlushTime)
+	defer cancel()
+	r.tokens.Stop(ctx)
+	pause.For(context.Background(), answerFlushTime)
+	r.clientServer.Close()
+	r.cancelBackground()
+	r.lifecycle.Done()
+	r.readyServer.Close()
+	r.adminServer.Close()
+	r.peers.Close()
+}
--- a/pkg/router/domains.go
+++ b/pkg/router/domains.go
@@ -2,12 +2,12 @@
 
 import "github.com/lavenderring/lavenderring/pkg/eventlog"
 
-// domainsChanged brings emptied and restored failure domains to the pools, and tells of them.
+// domainsChanged passes emptied and restored failure domains on to the pools and logs them.
 func (r *Router) domainsChanged() {
 	r.forward.Update()
 	for _, change := range r.registry.TakeDomainChanges() {
 		fields := eventlog.Fields{"domain": change.Domain}
-		if age, read := r.copies[copyEmptied].Age(); read {
+		if age, read := r.followers[copyEmptied].Age(); read {
 			fields["copy_age_ms"] = age.Milliseconds()
 		}
 		number := eventlog.DomainRestored
--- a/pkg/router/era.go
+++ b/pkg/router/era.go
@@ -11,31 +11,31 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// eraTimeout bounds the question to the store for its era.
+// eraTimeout bounds a query of the store's era.
 const eraTimeout = time.Second
 
-// noteEra takes in what an answer of the store told of its era.
-func (r *Router) noteEra(news store.EraNews) {
-	if news.Fault != nil {
-		r.log.Event(eventlog.StoreEraFault, "", eventlog.Fields{"era": news.To, "cause": news.Fault.Error()})
+// noteEra handles a new era, or a fault in the era, that an answer of the store carried.
+func (r *Router) noteEra(change store.EraNews) {
+	if change.Fault != nil {
+		r.log.Event(eventlog.StoreEraFault, "", eventlog.Fields{"era": change.To, "cause": change.Fault.Error()})
 		return
 	}
-	r.storeEra.Store(uint64(news.To))
-	r.eraSeen.Store(time.Now().UnixMilli())
-	metrics.GetOrRegisterGauge("store.era", r.metrics).Update(int64(news.To))
-	if news.From == 0 {
-		r.tokens.NoteFirstEra(uint64(news.To))
-		return // the first that this process sees
+	r.storeEra.Store(uint64(change.To))
+	r.eraSeenMillis.Store(time.Now().UnixMilli())
+	metrics.GetOrRegisterGauge("store.era", r.metrics).Update(int64(change.To))
+	if change.From == 0 {
+		r.tokens.NoteFirstEra(uint64(change.To))
+		return // the first era that this process sees
 	}
-	r.log.Event(eventlog.StoreWentBack, "", eventlog.Fields{"from": news.From, "era": news.To})
-	r.meeting.StoreWentBack()
-	r.tokens.NoteEra(uint64(news.To))
+	r.log.Event(eventlog.StoreWentBack, "", eventlog.Fields{"from": change.From, "era": change.To})
+	r.discovery.StoreWentBack()
+	r.tokens.NoteEra(uint64(change.To))
 	r.quarantine.StoreAgain()
 }
 
-// verifyEra has the store asked for its era, of which another instance told.
+// verifyEra reads the store's era from the store, after another instance has reported a new one.
 func (r *Router) verifyEra() (uint64, error) {
-	ctx, cancel := context.WithTimeout(r.background, eraTimeout)
+	ctx, cancel := context.WithTimeout(r.backgroundCtx, eraTimeout)
 	defer cancel()
 	object, err := r.store.Get(ctx, shardKey(0))
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -44,8 +44,9 @@
 	return uint64(object.Position.Era), nil
 }
 
-// eraAge returns for how long this process has known the store's era; false before the first.
+// eraAge returns for how long this process has known the store's current era; false if it has
+// not seen one yet.
 func (r *Router) eraAge() (time.Duration, bool) {
-	seen := r.eraSeen.Load()
+	seen := r.eraSeenMillis.Load()
 	return time.Since(time.UnixMilli(seen)), seen != 0
 }
--- a/pkg/router/ledger.go
+++ b/pkg/router/ledger.go
@@ -16,12 +16,12 @@
 // ledgerKind is the kind of the ledger's objects.
 const ledgerKind = "ledgers"
 
-// ledgerPause is the longest pause between two tries of one change of the ledger; it grows to this.
-const ledgerPause = 16 * time.Millisecond
+// maxLedgerRetryPause bounds the growing pause between two tries of one change of the ledger.
+const maxLedgerRetryPause = 16 * time.Millisecond
 
-// ledger keeps the newest known state of each shard, so that a change usually
-// takes one call: the write itself, whose conflict tells the present state. Each era of the store has
-// objects of its own (store.ReadEraObject).
+// ledger caches the newest known state of each shard, so that a change usually
+// takes one call: the write itself, which returns the current state on a conflict. Each era of the
+// store has objects of its own (store.ReadEraObject).
 type ledger struct {
 	store  store.Lister
 	shards []shardCache
@@ -29,7 +29,7 @@
 
 type shardCache struct {
 	mu     sync.Mutex
-	known  bool
+	valid  bool
 	object store.Object
 }
 
@@ -44,7 +44,7 @@
 	defer cache.mu.Unlock()
 	var err error
 	for try := range tries {
-		if try > 0 && !pause.For(ctx, rand.N(min(time.Millisecond<<try, ledgerPause))) {
+		if try > 0 && !pause.For(ctx, rand.N(min(time.Millisecond<<try, maxLedgerRetryPause))) {
 			return errors.Join(ctx.Err(), err)
 		}
 		if err = l.tryUpdate(ctx, shard, cache, change); err == nil {
@@ -52,13 +52,14 @@
 		}
 		var elsewhere *prepaid.DrawnElsewhereError
 		if errors.As(err, &elsewhere) {
-			// What is kept may be old: the next write reads who draws now. Else two
-			// instances with old states could send each other's askers back and forth.
-			cache.known = false
+			// The cached state may be stale, so the next write reads which instance draws now.
+			// Otherwise two instances with stale states could redirect each other's requesters
+			// back and forth.
+			cache.valid = false
 			return err
 		}
 		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrUncertain) {
-			cache.known = false
+			cache.valid = false
 			return err
 		}
 	}
@@ -66,12 +67,12 @@
 }
 
 func (l *ledger) tryUpdate(ctx context.Context, shard int, cache *shardCache, change func(*prepaid.Shard) error) error {
-	if !cache.known {
+	if !cache.valid {
 		object, err := store.ReadEraObject(ctx, l.store, shardKey(shard))
 		if err != nil {
 			return err
 		}
-		cache.object, cache.known = object, true
+		cache.object, cache.valid = object, true
 	}
 	state, err := prepaid.DecodeShard(cache.object.Value)
 	if err != nil {
@@ -90,8 +91,8 @@
 	position, err := l.store.Put(ctx, cache.object.Key, value, cache.object.Position)
 	if err != nil {
 		var conflict *store.ConflictError
-		cache.known = errors.As(err, &conflict) && conflict.Present.Position.Era == cache.object.Position.Era
-		if cache.known {
+		cache.valid = errors.As(err, &conflict) && conflict.Present.Position.Era == cache.object.Position.Era
+		if cache.valid {
 			cache.object.Position, cache.object.Value = conflict.Present.Position, conflict.Present.Value
 		}
 		return err
@@ -100,5 +101,5 @@
 	return nil
 }
 
-// shardKey is the key of a shard, and what instances are ranked for to draw it.
+// shardKey returns the key of a shard's object, by which instances are also ranked as its drawers.
 func shardKey(shard int) string { return fmt.Sprintf("%s/%04d", ledgerKind, shard) }
--- a/pkg/router/members.go
+++ b/pkg/router/members.go
@@ -7,23 +7,23 @@
 	"github.com/lavenderring/lavenderring/pkg/placement"
 )
 
-// readings tells what this instance has learned of the engines.
-func (r *Router) readings() []*memberpb.Reading {
+// prefillStats returns what this instance has measured of the engines' prefill.
+func (r *Router) prefillStats() []*memberpb.Reading {
 	var out []*memberpb.Reading
-	for service, reading := range r.forward.PrefillStats() {
+	for service, stats := range r.forward.PrefillStats() {
 		out = append(out, &memberpb.Reading{
 			Service:         service,
-			TokensPerSecond: reading.TokensPerSecond,
-			Answers:         reading.Answers,
-			AllTokens:       reading.All,
-			LongTokens:      reading.Long,
+			TokensPerSecond: stats.TokensPerSecond,
+			Answers:         stats.Answers,
+			AllTokens:       stats.All,
+			LongTokens:      stats.Long,
 		})
 	}
 	return out
 }
 
-// learned takes in what another instance has learned.
-func (r *Router) learned(from string, readings []*memberpb.Reading) {
+// recordPrefillStats records what another instance has measured.
+func (r *Router) recordPrefillStats(from string, readings []*memberpb.Reading) {
 	for _, m := range readings {
 		r.forward.RecordPeerStats(from, m.Service, placement.Reading{
 			TokensPerSecond: m.TokensPerSecond,
@@ -45,8 +45,8 @@
 	return &memberpb.ProbeReply{Answered: r.gossip.Answers(ctx, req.Incarnation, req.Address)}, nil
 }
 
-// FetchConfig implements the members service. Copies of the store are handed on by the copies
-// service.
+// FetchConfig implements the members service. It returns no configuration: copies of the store are
+// served by the copies service.
 func (r *Router) FetchConfig(_ context.Context, req *memberpb.FetchConfigRequest) (*memberpb.Config, error) {
 	return &memberpb.Config{Service: req.Service}, nil
 }
--- a/pkg/router/quarantine.go
+++ b/pkg/router/quarantine.go
@@ -8,44 +8,45 @@
 	"github.com/lavenderring/lavenderring/pkg/pause"
 )
 
-// How an instance that starts learns of requests that crash upstreams.
+// How a starting instance learns of requests that crash upstreams.
 const (
-	// comparedWithin bounds the wait for another instance's table: it is not worth more
-	// callers than it protects.
-	comparedWithin = time.Second
-	// verdictsRetry is the pause before the store's verdicts are read again.
-	verdictsRetry = 500 * time.Millisecond
+	// maxCompareWait bounds the wait for another instance's quarantine table: a longer wait
+	// would affect more clients than the table protects.
+	maxCompareWait = time.Second
+	// verdictsRetryInterval is the pause before the store's verdicts are read again.
+	verdictsRetryInterval = 500 * time.Millisecond
 )
 
-// awaitQuarantine waits until another instance has told which requests must not run. It reports
-// false if ctx ended first.
+// awaitQuarantine waits until another instance has sent which requests must not run, no other instance
+// was found, or maxCompareWait is over. It reports false if ctx ended first.
 func (r *Router) awaitQuarantine(ctx context.Context) bool {
-	for began := time.Now(); time.Since(began) < comparedWithin; {
-		if r.quarantine.Compared() || r.meeting.FoundNobody() {
+	for began := time.Now(); time.Since(began) < maxCompareWait; {
+		if r.quarantine.Compared() || r.discovery.FoundNobody() {
 			break
 		}
-		if !pause.For(ctx, syncCheck) {
+		if !pause.For(ctx, syncCheckInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// recoverVerdicts reads what the store has of condemned requests if no other instance knows it: all
-// were lost. Those few of a region that keep entries in the store read it, and tell the others.
+// recoverVerdicts reads the condemned requests from the store if no other instance knows them, as after
+// the loss of all instances. Only the registrars, the few instances of a region that keep entries in the
+// store, read them; they pass them on to the others.
 func (r *Router) recoverVerdicts(ctx context.Context) {
-	for !r.meeting.Joined() {
-		if !pause.For(ctx, syncCheck) {
+	for !r.discovery.Joined() {
+		if !pause.For(ctx, syncCheckInterval) {
 			return
 		}
 	}
-	for !r.quarantine.Stored() && r.meeting.IsRegistrar() {
+	for !r.quarantine.Stored() && r.discovery.IsRegistrar() {
 		err := r.quarantine.Recover(ctx)
 		if err == nil {
 			return
 		}
 		r.log.Event(eventlog.QuarantineFault, "", eventlog.Fields{"step": "recover", "cause": err.Error()})
-		if !pause.For(ctx, verdictsRetry) {
+		if !pause.For(ctx, verdictsRetryInterval) {
 			return
 		}
 	}
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -1,4 +1,4 @@
-// Package router puts the duties of one instance on the users' platform together
+// Package router assembles the components of one instance on the users' platform
 // into one process.
 package router
 
@@ -39,21 +39,22 @@
 const (
 	// readTimeout bounds the reading of one client's request.
 	readTimeout = 10 * time.Second
-	// maxAdminBody bounds a body sent to operators' paths, which take none.
-	maxAdminBody = 64 << 10
+	// maxAdminBodyBytes bounds a body sent to administration paths, which need none.
+	maxAdminBodyBytes = 64 << 10
 )
 
-// Platform is what the adapter to the platform provides.
+// Platform holds what the adapter to the users' platform provides.
 type Platform struct {
-	// NewStore returns a client of the store at an address, which tells what answers say of
-	// the store itself.
+	// NewStore returns a client of the store at an address; it reports the store's availability and
+	// era to the listener.
 	NewStore func(address string, listener store.Listener) store.Watcher
-	// Config and Upstreams return followers of the two kinds.
-	Config    func(s store.Watcher, take func(*routing.Config), bad func(error)) *follow.Follower
-	Upstreams func(s store.Watcher, r *registry.Registry, changed func(), bad func(error)) *follow.Follower
-	// Emptied returns a follower of the emptied failure domains.
+	// NewConfigFollower and NewUpstreamFollower return followers of the configuration and of
+	// the upstreams.
+	Config    func(s store.Watcher, take func(*routing.Config), reject func(error)) *follow.Follower
+	Upstreams func(s store.Watcher, r *registry.Registry, changed func(), reject func(error)) *follow.Follower
+	// NewEmptiedFollower returns a follower of the emptied failure domains.
 	Emptied func(s store.Watcher, r *registry.Registry, changed func()) *follow.Follower
-	// StoreCalls tells the calls that a client has made, by kind.
+	// CountStoreCalls returns how many calls a store client has made, by kind.
 	StoreCalls func(s store.Watcher) map[string]int64
 	Codec      forward.Codec
 	Format     door.Format
@@ -67,7 +68,7 @@
 	incarnation string
 	log         *eventlog.Log
 	metrics     metrics.Registry
-	life        *life.Life
+	lifecycle   *life.Life
 
 	store    store.Watcher
 	config   routing.State
@@ -77,75 +78,75 @@
 	table    *member.Table
 	gossip   *member.Gossip
 	tokens   *prepaid.Node
-	// quarantine knows the requests that crash upstreams.
-	quarantine *keeper.Keeper
-	conns      *httpconn.Pool
-	forward    *forward.Forwarder
-	cold       *coldlimit.Limit
-	load       *overload.Limit
-	// overloaded is what the log told last; touched by one duty only.
-	overloaded bool
+	// quarantine holds the requests that crash upstreams.
+	quarantine    *keeper.Keeper
+	conns         *httpconn.Pool
+	forward       *forward.Forwarder
+	coldLimit     *coldlimit.Limit
+	overloadLimit *overload.Limit
+	// loggedOverloaded is the overload state that was logged last; only one background task uses it.
+	loggedOverloaded bool
 
-	door   *door.Door
-	ready  *httpserve.Server
-	admin  *httpserve.Server
-	server *peer.Server
+	clientServer *door.Door
+	readyServer  *httpserve.Server
+	adminServer  *httpserve.Server
+	peerServer   *peer.Server
 
-	tie *life.StoreTie
-	// storeEra is the latest era of the store that its answers told this instance.
+	storeMonitor *life.StoreTie
+	// storeEra is the latest era that answers of the store have carried.
 	storeEra atomic.Uint64
-	// eraSeen is when this process first saw that era, in Unix milliseconds.
-	eraSeen atomic.Int64
-	// copies are the followers of the configuration and of the upstreams, by what the
-	// instances call the two.
-	copies    map[string]*follow.Follower
+	// eraSeenMillis is when this process first saw that era, in Unix milliseconds.
+	eraSeenMillis atomic.Int64
+	// followers holds the followers of the configuration, the upstreams and the emptied failure
+	// domains by the names of their copies.
+	followers map[string]*follow.Follower
 	publisher *follow.Publisher
-	// alarm is touched by one duty only.
-	alarm follow.Alarm
-	// meeting finds the other instances.
-	meeting *meeting.Meeting
+	// ageMonitor is used by one background task only.
+	ageMonitor follow.Alarm
+	// discovery finds the other instances.
+	discovery *meeting.Meeting
 
-	noted member.Notes
+	memberLogger member.Notes
 
 	// synced is closed once the instance has a configuration and the upstreams.
 	synced chan struct{}
 
-	background context.Context
-	end        context.CancelFunc
-	duties     sync.WaitGroup
+	backgroundCtx    context.Context
+	cancelBackground context.CancelFunc
+	backgroundTasks  sync.WaitGroup
 }
 
-// New provisions an instance: everything is made and bound, nothing runs.
+// New provisions an instance: everything is created and bound to its address, nothing runs.
 func New(s *settings.Router, p Platform, logOut io.Writer) (*Router, error) {
 	r := &Router{
-		settings:    s,
-		platform:    p,
-		incarnation: s.Name + "-" + ulid.Make().String(),
-		log:         eventlog.New(s.Name, logOut),
-		metrics:     metrics.NewRegistry(),
-		registry:    registry.New(time.Now),
-		conns:       httpconn.NewPool(time.Now),
-		load:        overload.New(time.Now),
-		synced:      make(chan struct{}),
+		settings:      s,
+		platform:      p,
+		incarnation:   s.Name + "-" + ulid.Make().String(),
+		log:           eventlog.New(s.Name, logOut),
+		metrics:       metrics.NewRegistry(),
+		registry:      registry.New(time.Now),
+		conns:         httpconn.NewPool(time.Now),
+		overloadLimit: overload.New(time.Now),
+		synced:        make(chan struct{}),
 	}
-	r.background, r.end = context.WithCancel(context.Background())
-	r.life = life.New(r.log)
-	r.tie = life.NewStoreTie(r.log)
-	r.store = p.NewStore(s.StoreAddress, store.Listener{State: r.noteStore, Era: r.noteEra})
+	r.backgroundCtx, r.cancelBackground = context.WithCancel(context.Background())
+	r.lifecycle = life.New(r.log)
+	r.storeMonitor = life.NewStoreTie(r.log)
+	r.store = p.NewStore(s.StoreAddress, store.Listener{State: r.recordStoreResult, Era: r.noteEra})
 	r.provisionFleet()
 	r.provisionForward()
-	r.provisionCopies()
+	r.provisionFollowers()
 	if err := r.bind(); err != nil {
-		r.end()
+		r.cancelBackground()
 		return nil, err
 	}
 	r.log.Event(eventlog.InstanceStarting, "", eventlog.Fields{"incarnation": r.incarnation, "domain": s.Domain})
 	return r, nil
 }
 
-// noteStore notes whether the store answered a call.
-func (r *Router) noteStore(err error) {
-	if r.tie.Note(err) {
+// recordStoreResult records whether the store answered a call.
+func (r *Router) recordStoreResult(err error) {
+	if r.storeMonitor.Note(err) {
 		r.tokens.StoreBack()
 	}
 }
@@ -176,14 +177,14 @@
 		Table:    r.table,
 		Send:     r.peers.Heartbeat,
 		Probe:    r.peers.Probe,
-		Readings: r.readings,
-		Learned:  r.learned,
+		Readings: r.prefillStats,
+		Learned:  r.recordPrefillStats,
 		Era:      r.storeEra.Load,
 		HeardEra: func(era uint64) { r.tokens.HeardEra(era) },
 
 		Quarantine: r.quarantine,
 	}
-	r.meeting = meeting.New(
+	r.discovery = meeting.New(
 		meeting.Config{Name: s.Name, Address: s.PeerAddress, Seeds: s.Seeds},
 		meeting.Deps{Table: r.table, Gossip: r.gossip, Store: r.store, Log: r.log},
 	)
@@ -196,17 +197,17 @@
 	}
 	r.tokens = prepaid.NewNode(cfg, prepaid.Deps{
 		Ledger:    newLedger(r.store, s.LedgerShards),
-		Peers:     lenders{client: r.peers, table: r.table},
-		Fleet:     fleetView{table: r.table, joined: r.meeting.Joined, meet: r.meetAt},
+		Peers:     tokenPeers{client: r.peers, table: r.table},
+		Fleet:     fleetView{table: r.table, joined: r.discovery.Joined, discover: r.discoverAt},
 		Observer:  tokenLog{r.log},
-		Amounts:   r.amounts,
+		Amounts:   r.prepaidAmounts,
 		VerifyEra: r.verifyEra,
 		Now:       time.Now,
 	})
 }
 
 func (r *Router) provisionForward() {
-	r.cold = coldlimit.New(r.settings.Name, r.liveNames, time.Now)
+	r.coldLimit = coldlimit.New(r.settings.Name, r.liveNames, time.Now)
 	r.forward = forward.New(forward.Deps{
 		Domain:   r.settings.Domain,
 		Config:   &r.config,
@@ -216,9 +217,9 @@
 		Conns:    r.conns,
 		Log:      r.log,
 		Metrics:  r.metrics,
-		Overload: r.load,
+		Overload: r.overloadLimit,
 
-		ColdLimit:   r.cold,
+		ColdLimit:   r.coldLimit,
 		ColdOverage: r.settings.ColdOverage,
 		ColdSlack:   r.settings.ColdSlack,
 
@@ -231,15 +232,15 @@
 		},
 		NumInstances:   r.table.CountLive,
 		Synced:         r.synced,
-		StoreAvailable: r.tie.Up,
+		StoreAvailable: r.storeMonitor.Up,
 		Now:            time.Now,
 	})
 }
 
-// meetAt makes the instance at an address known.
-func (r *Router) meetAt(address string) { r.meeting.MeetAt(r.background, address) }
+// discoverAt makes the instance at an address known.
+func (r *Router) discoverAt(address string) { r.discovery.MeetAt(r.backgroundCtx, address) }
 
-// liveNames returns the names of all living instances.
+// liveNames returns the names of all live instances.
 func (r *Router) liveNames() []string {
 	var names []string
 	for _, m := range r.table.Live() {
@@ -251,32 +252,32 @@
 func (r *Router) bind() error {
 	s := r.settings
 	var err error
-	handlers := peer.Handlers{Members: r, Loans: loans{r.tokens}, Copies: r, Quarantine: keeper.Service{Keeper: r.quarantine}}
-	if r.server, err = peer.Listen(s.PeerAddress, handlers, &r.traffic, nil); err != nil {
+	handlers := peer.Handlers{Members: r, Loans: tokenService{r.tokens}, Copies: r, Quarantine: keeper.Service{Keeper: r.quarantine}}
+	if r.peerServer, err = peer.Listen(s.PeerAddress, handlers, &r.traffic, nil); err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	r.door, err = door.Listen(door.Options{
+	r.clientServer, err = door.Listen(door.Options{
 		Address:     s.ClientAddress,
 		ReadTimeout: readTimeout,
 		Format:      r.platform.Format,
 		Pipeline:    r.forward,
-		Overloaded:  r.load.Overloaded,
+		Overloaded:  r.overloadLimit.Overloaded,
 	})
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
-	if r.ready, err = httpserve.Listen(httpserve.Options{Address: s.ReadyAddress, MaxBodyBytes: maxAdminBody}); err != nil {
+	if r.readyServer, err = httpserve.Listen(httpserve.Options{Address: s.ReadyAddress, MaxBodyBytes: maxAdminBodyBytes}); err != nil {
 		return fmt.Errorf("listen for the balancer: %w", err)
 	}
-	if r.admin, err = httpserve.Listen(httpserve.Options{Address: s.AdminAddress, MaxBodyBytes: maxAdminBody}); err != nil {
+	if r.adminServer, err = httpserve.Listen(httpserve.Options{Address: s.AdminAddress, MaxBodyBytes: maxAdminBodyBytes}); err != nil {
 		return fmt.Errorf("listen for operators: %w", err)
 	}
-	r.adminRoutes()
+	r.registerAdminRoutes()
 	return nil
 }
 
 // NoteSettings logs that the settings file was read again; err is what is wrong
-// with it. The instance goes on with what it was started with.
+// with it. The instance keeps the settings that it was started with.
 func (r *Router) NoteSettings(err error) {
 	fields := eventlog.Fields{"valid": err == nil}
 	if err != nil {
@@ -285,5 +286,5 @@
 	r.log.Event(eventlog.SettingsRead, "", fields)
 }
 
-// State returns the state of the instance's life.
-func (r *Router) State() string { return r.life.State() }
+// State returns the state of the instance's lifecycle.
+func (r *Router) State() string { return r.lifecycle.State() }
--- a/pkg/router/tokens.go
+++ b/pkg/router/tokens.go
@@ -16,34 +16,34 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// lenders implements prepaid.Peers.
-type lenders struct {
+// tokenPeers implements prepaid.Peers.
+type tokenPeers struct {
 	client *peer.Client
 	table  *member.Table
 }
 
-func (l lenders) Lend(ctx context.Context, to, budget string, need, ahead int64) (int64, error) {
+func (l tokenPeers) Lend(ctx context.Context, to, budget string, need, ahead int64) (int64, error) {
 	return l.client.Lend(ctx, to, budget, need, ahead)
 }
 
-func (l lenders) Refill(
+func (l tokenPeers) Refill(
 	ctx context.Context, to string, req *prepaidpb.RefillRequest,
 ) (*prepaidpb.RefillReply, error) {
 	reply, err := l.client.Refill(ctx, to, req)
 	if err == nil && reply.Successor != "" {
-		// Heartbeats would tell of it seconds later, in a large fleet.
+		// In a large fleet, heartbeats would bring this news seconds later.
 		l.table.Succeeded(to, reply.Successor)
 	}
 	return reply, err
 }
 
-func (l lenders) Recall(ctx context.Context, to, budget string) error {
+func (l tokenPeers) Recall(ctx context.Context, to, budget string) error {
 	return l.client.RecallTokens(ctx, to, budget)
 }
 
-// Witness implements prepaid.Peers. An instance of a version that remembers no draws counts as a witness,
-// or a fleet that is being updated would not serve.
-func (l lenders) Witness(
+// Witness implements prepaid.Peers. An instance of a version that does not remember draws counts as a
+// witness; otherwise a fleet could not serve while it is being updated.
+func (l tokenPeers) Witness(
 	ctx context.Context, to string, req *prepaidpb.WitnessRequest,
 ) (*prepaidpb.WitnessReply, error) {
 	reply, err := l.client.Witness(ctx, to, req)
@@ -56,10 +56,10 @@
 // fleetView implements prepaid.Fleet.
 type fleetView struct {
 	table *member.Table
-	// joined tells whether the others are known.
+	// joined reports whether the other instances are known.
 	joined func() bool
-	// meet makes the instance at an address known.
-	meet func(address string)
+	// discover makes the instance at an address known.
+	discover func(address string)
 }
 
 // Joined implements prepaid.Fleet.
@@ -79,39 +79,39 @@
 // Live implements prepaid.Fleet.
 func (v fleetView) Live(name string) (incarnation string, known bool) { return v.table.LiveNamed(name) }
 
-// Meet implements prepaid.Fleet.
-func (v fleetView) Meet(address string) { go v.meet(address) }
+// Discover implements prepaid.Fleet.
+func (v fleetView) Meet(address string) { go v.discover(address) }
 
-// sharesFor is how long a silent instance still counts among those that share budgets:
-// longer than any cut of all instances that is outlasted, since at its end each of them
-// finds the others silent and would take the whole share.
-const sharesFor = 15 * time.Second
+// maxShareSilence is how long a silent instance still counts among those that share budgets.
+// It is longer than any network partition between all instances that the fleet must survive: at the
+// end of one, each instance finds the others silent and would take the whole share.
+const maxShareSilence = 15 * time.Second
 
-// Counts implements prepaid.Fleet.
+// SharesBudgets implements prepaid.Fleet.
 func (v fleetView) Counts(name string) bool {
-	return !v.Joined() || v.table.HeardWithin(name, sharesFor)
+	return !v.Joined() || v.table.HeardWithin(name, maxShareSilence)
 }
 
-// directDrawers is the largest fleet in which each instance draws for itself: with two
-// there is nothing to gather.
-const directDrawers = 2
+// maxDirectDrawFleet is the largest fleet in which each instance draws for itself: with two
+// instances, a common drawer would save no calls.
+const maxDirectDrawFleet = 2
 
-// How many instances are named as those that may draw a shard: the first of the region,
-// others for when it does not answer, and some of the own failure domain for when that is
-// cut off from the others and still reaches the store.
+// How many instances are named as candidates for drawing a shard: the first of the region,
+// others in case it does not answer, and some of this instance's failure domain in case that is
+// partitioned from the others and still reaches the store.
 const (
-	regionCandidates = 2
-	domainCandidates = 2
+	numRegionCandidates = 2
+	numDomainCandidates = 2
 )
 
-// Drawers implements prepaid.Fleet: known instances in the shard's order, silent ones too,
-// on which the others agree without talk.
+// Drawers implements prepaid.Fleet: known instances in the shard's order, including silent ones,
+// so that all instances agree on them without communication.
 func (v fleetView) Drawers(shard int) []string {
-	if v.table.Count() <= directDrawers {
+	if v.table.Count() <= maxDirectDrawFleet {
 		return nil
 	}
-	names := incarnations(v.table.RankedInRegion(shardKey(shard), regionCandidates))
-	for _, near := range incarnations(v.table.RankedInDomain(shardKey(shard), domainCandidates)) {
+	names := incarnations(v.table.RankedInRegion(shardKey(shard), numRegionCandidates))
+	for _, near := range incarnations(v.table.RankedInDomain(shardKey(shard), numDomainCandidates)) {
 		if !slices.Contains(names, near) {
 			names = append(names, near)
 		}
@@ -124,7 +124,8 @@
 	return incarnations(v.table.WinnersElsewhere(shardKey(shard)))
 }
 
-// Witnesses implements prepaid.Fleet: the best of each other failure domain, then others of its own.
+// Witnesses implements prepaid.Fleet: the highest-ranked instance of each other failure domain, then
+// all others in random order.
 func (v fleetView) Witnesses(shard int) []string {
 	var witnesses []string
 	own := v.table.Self()
@@ -177,35 +178,35 @@
 	})
 }
 
-// loans answers other instances.
-type loans struct{ node *prepaid.Node }
+// tokenService answers the requests of other instances for tokens.
+type tokenService struct{ node *prepaid.Node }
 
-// loanTimeout bounds the work for another instance's request.
-const loanTimeout = 300 * time.Millisecond
+// tokenServiceTimeout bounds the work for another instance's request.
+const tokenServiceTimeout = 300 * time.Millisecond
 
-func (l loans) Lend(ctx context.Context, req *prepaidpb.LendRequest) (*prepaidpb.LendReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, loanTimeout)
+func (l tokenService) Lend(ctx context.Context, req *prepaidpb.LendRequest) (*prepaidpb.LendReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, tokenServiceTimeout)
 	defer cancel()
 	return &prepaidpb.LendReply{Tokens: l.node.Lend(ctx, req.Budget, req.Need, req.Ahead)}, nil
 }
 
-func (l loans) Refill(ctx context.Context, req *prepaidpb.RefillRequest) (*prepaidpb.RefillReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, loanTimeout)
+func (l tokenService) Refill(ctx context.Context, req *prepaidpb.RefillRequest) (*prepaidpb.RefillReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, tokenServiceTimeout)
 	defer cancel()
 	return l.node.Refill(ctx, req), nil
 }
 
-func (l loans) Witness(_ context.Context, req *prepaidpb.WitnessRequest) (*prepaidpb.WitnessReply, error) {
+func (l tokenService) Witness(_ context.Context, req *prepaidpb.WitnessRequest) (*prepaidpb.WitnessReply, error) {
 	return l.node.Witness(req), nil
 }
 
-func (l loans) Recall(_ context.Context, req *prepaidpb.RecallRequest) (*prepaidpb.RecallReply, error) {
+func (l tokenService) Recall(_ context.Context, req *prepaidpb.RecallRequest) (*prepaidpb.RecallReply, error) {
 	l.node.Recalled(req.Budget)
 	return &prepaidpb.RecallReply{}, nil
 }
 
-// amounts returns what the configuration in force prepaid within a shard.
-func (r *Router) amounts(shard int) prepaid.Amounts {
+// prepaidAmounts returns the prepaid tokens of a shard's accounts in the configuration in force.
+func (r *Router) prepaidAmounts(shard int) prepaid.Amounts {
 	table := r.config.Table()
 	if table == nil {
 		return prepaid.Amounts{}
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -121,8 +121,8 @@
 try one-word-condemns-nobody $q/record.go 's/reporters > 1 \|\| r\.Crashes\[instance\] > r\.Cleared/true/' $q TestWordOfOneInstanceDoesNotCondemn
 try condemned-are-not-evicted $q/bound.go 's/ \|\| e\.IsCondemned\(\)//' $q TestTableFullOfCondemnedKeepsThem
 try verdicts-are-stored-again pkg/router/era.go 's/\tr\.quarantine\.StoreAgain\(\)\n//' test TestCondemnedRequestStaysSoAfterALossOfAll
-try verdicts-are-recovered pkg/router/duties.go 's/\tr\.duty\(r\.recoverVerdicts\)\n//' test TestCondemnedRequestStaysSoAfterALossOfAll
-try starts-wait-for-the-quarantine pkg/router/duties.go 's/return r\.awaitQuarantine\(ctx\)/return true/; s/\tr\.duty\(r\.quarantine\.Spread\)\n//; s/\tr\.duty\(r\.recoverVerdicts\)\n//' test TestStartingInstanceKnowsWhatIsCondemned
+try verdicts-are-recovered pkg/router/background.go 's/\tr\.runInBackground\(r\.recoverVerdicts\)\n//' test TestCondemnedRequestStaysSoAfterALossOfAll
+try starts-wait-for-the-quarantine pkg/router/background.go 's/return r\.awaitQuarantine\(ctx\)/return true/; s/\tr\.runInBackground\(r\.quarantine\.Spread\)\n//; s/\tr\.runInBackground\(r\.recoverVerdicts\)\n//' test TestStartingInstanceKnowsWhatIsCondemned
 try endings-are-undecided $q/conclude.go 's/suspected := r\.Broke\(attempt\.Origin, attempt\.Upstream, at\)/suspected := false/' test TestCrashIsKnownByTheNextIncarnation
 try undecided-endings-hold-back $q/table.go 's/return undecided > 0 && .*/return false \&\& undecided+crashes > 0/' $q TestUndecidedEndingsHoldARequestBack
 try same-process-refutes $q/undecided.go 's/key\.Incarnation != incarnation$/true/m' $q TestEndingIsRefutedByTheSameIncarnation
