--- a/pkg/httpconn/httpconn.go
+++ b/pkg/httpconn/httpconn.go
@@ -1,12 +1,12 @@
-// Package httpconn speaks HTTP/1.1 as a client on one TCP connection that its
-// caller owns, and keeps such connections for reuse.
+// Package httpconn implements an HTTP/1.1 client on a single TCP connection that its
+// caller owns, and a pool of such connections.
 //
-// The house's HTTP library hides its client sockets: a kept connection cannot be
-// checked before it is reused, a silent one cannot be probed, and a request with
-// an idempotent method is sent again on its own when a reused connection breaks.
-// Here nothing is ever sent twice, a kept connection is read-checked before each
-// use, and the kernel probes silent ones. Heads and bodies are read by the
-// standard library's parser.
+// The HTTP library used elsewhere hides its client sockets: an idle connection cannot be
+// checked before it is reused, a silent one cannot be probed, and the library itself sends
+// a request with an idempotent method again when a reused connection breaks. This package
+// never sends anything twice, checks an idle connection with a read before each use, and
+// has the kernel probe silent ones. Heads and bodies are read by the standard library's
+// parser.
 package httpconn
 
 import (
@@ -20,26 +20,26 @@
 	"time"
 )
 
-// How a silent connection is found. A connection may go silent for good without
-// a reset; the probes and the bound on unacknowledged bytes end it after about
-// three seconds, the time that the users' bounds allow for a return to service.
+// Detection of silent connections. A connection may go silent for good without a
+// reset. The keep-alive probes and the timeout of unacknowledged data end it after about
+// three seconds, the longest time that users allow for a return to service.
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// userTimeoutMillis bounds how long sent bytes may stay unacknowledged.
+	// userTimeoutMillis bounds how long sent data may stay unacknowledged.
 	userTimeoutMillis = 2500
-	// tcpUserTimeout is TCP_USER_TIMEOUT of linux/tcp.h.
-	tcpUserTimeout = 18
-	// readBufferBytes holds a usual head in one read.
+	// optTCPUserTimeout is TCP_USER_TIMEOUT from linux/tcp.h.
+	optTCPUserTimeout = 18
+	// readBufferBytes is enough for a typical head in one read.
 	readBufferBytes = 4 << 10
 )
 
-// Error tells at which step and peer an exchange failed.
+// Error says at which step and with which peer an exchange failed.
 type Error struct {
 	// Step is "dial", "send", "head" or "body".
 	Step string
-	// Peer is the address.
+	// Peer is the peer's address.
 	Peer string
 	// Err is the cause.
 	Err error
@@ -53,19 +53,19 @@
 
 // Conn is one connection. Only Close may be called concurrently with others.
 type Conn struct {
-	// Peer is the address that was dialled.
+	// Peer is the address that was dialed.
 	Peer string
-	// DialTook is how long the connection took to be set up, one round trip.
+	// DialDuration is how long the connection setup took, one round trip.
 	DialTook time.Duration
 
 	tcp    *net.TCPConn
 	reader *bufio.Reader
-	// idleSince is when the connection was kept; idleFor how long it may be.
+	// idleSince is when the connection became idle; maxIdle bounds how long it may stay so.
 	idleSince time.Time
-	idleFor   time.Duration
+	maxIdle   time.Duration
 }
 
-// keepAlive is the probing of connections.
+// keepAlive configures the kernel's keep-alive probes.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     keepAliveIdle,
@@ -73,16 +73,16 @@
 	Count:    keepAliveCount,
 }
 
-// setUserTimeout bounds unacknowledged bytes on a socket about to be used.
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket before it is connected.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, userTimeoutMillis)
+		sockErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optTCPUserTimeout, userTimeoutMillis)
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, sockErr)
 }
 
-// Dial opens a connection; the context's end or the timeout gives up. Errors:
+// Dial opens a connection. It fails when ctx ends or the timeout is over. Errors:
 // *Error with step "dial".
 func Dial(ctx context.Context, address string, timeout time.Duration) (*Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
@@ -112,7 +112,7 @@
 }
 
 // ReadHead reads a response's head; method is the request's. Interim responses
-// are passed over. Errors: *Error with step "head".
+// are skipped. Errors: *Error with step "head".
 func (c *Conn) ReadHead(method string) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	for {
@@ -126,31 +126,31 @@
 	}
 }
 
-// SetDeadline bounds every read and write from now on.
+// SetDeadline sets the deadline of all following reads and writes.
 func (c *Conn) SetDeadline(t time.Time) { _ = c.tcp.SetDeadline(t) }
 
-// Clean reports that nothing is left to be read: a response followed by bytes
-// that no request asked for must not have the next request's answer read after
-// them.
+// FullyRead reports whether no unread data is buffered. If a response is followed by
+// unsolicited bytes, the connection must not be reused, since the next request would get
+// them as its answer.
 func (c *Conn) Clean() bool { return c.reader.Buffered() == 0 }
 
-// Close ends the connection at once; it may be called at any time.
+// Close closes the connection immediately; it may be called at any time.
 func (c *Conn) Close() { _ = c.tcp.Close() }
 
-// alive reads without waiting: a good idle connection has nothing to read. An
-// end, a reset or bytes that nobody asked for make it unusable; without this
-// check the next request would be lost or get another's answer.
-func (c *Conn) alive() bool {
+// isReusable checks an idle connection with a non-blocking read, which finds nothing on a
+// usable one. A close, a reset or unsolicited bytes make it unusable; without this check the
+// next request would be lost or get an answer that belongs to another.
+func (c *Conn) isReusable() bool {
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	var one [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		_, readErr := syscall.Read(int(fd), one[:])
-		quiet = errors.Is(readErr, syscall.EAGAIN)
+		noData = errors.Is(readErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -7,37 +7,38 @@
 
 // Bounds of the pool.
 const (
-	// defaultIdle is how long a connection is kept to a peer that names no
-	// timeout of its own.
-	defaultIdle = 4 * time.Second
-	// idleMargin is the part of a peer's named timeout after which a kept
-	// connection is not used any more: a request that crosses the peer's close
-	// may or may not have run.
-	idleMargin = 0.6
+	// defaultIdleTimeout is the idle timeout assumed for a peer that does not state
+	// its own.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutFraction is the fraction of a peer's idle timeout after which an idle
+	// connection is no longer used: a request that crosses the peer's close on the
+	// network may or may not have run.
+	idleTimeoutFraction = 0.6
 )
 
 // Pool keeps idle connections by peer. It is safe for concurrent use.
 type Pool struct {
 	now func() time.Time
 
-	mu   sync.Mutex
-	idle map[string][]*Conn
-	open map[string]int
+	mu      sync.Mutex
+	idle    map[string][]*Conn
+	numOpen map[string]int
 }
 
 // NewPool returns an empty pool.
 func NewPool(now func() time.Time) *Pool {
-	return &Pool{now: now, idle: map[string][]*Conn{}, open: map[string]int{}}
+	return &Pool{now: now, idle: map[string][]*Conn{}, numOpen: map[string]int{}}
 }
 
-// Take returns the newest kept connection to a peer that is still good, or nil.
+// Get removes and returns the most recently added idle connection to a peer that is still
+// usable, or nil. It closes the unusable ones that it meets.
 func (p *Pool) Take(peer string) *Conn {
 	for {
 		conn := p.pop(peer)
 		if conn == nil {
 			return nil
 		}
-		if p.now().Sub(conn.idleSince) < conn.idleFor && conn.alive() {
+		if p.now().Sub(conn.idleSince) < conn.maxIdle && conn.isReusable() {
 			return conn
 		}
 		p.Drop(conn)
@@ -47,89 +48,89 @@
 func (p *Pool) pop(peer string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[peer]
-	if len(kept) == 0 {
+	conns := p.idle[peer]
+	if len(conns) == 0 {
 		return nil
 	}
-	conn := kept[len(kept)-1]
-	p.idle[peer] = kept[:len(kept)-1]
+	conn := conns[len(conns)-1]
+	p.idle[peer] = conns[:len(conns)-1]
 	return conn
 }
 
-// Opened counts a new connection in.
+// CountOpened counts a connection that the caller has opened.
 func (p *Pool) Opened(peer string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open[peer]++
+	p.numOpen[peer]++
 }
 
-// Open returns how many connections to a peer exist.
+// NumOpen returns how many connections to a peer are open, idle or in use.
 func (p *Pool) Open(peer string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open[peer]
+	return p.numOpen[peer]
 }
 
-// Keep takes a connection back for reuse; idle is what the peer said it keeps an
-// idle connection for, 0 if it said nothing.
-func (p *Pool) Keep(conn *Conn, idle time.Duration) {
-	if idle <= 0 {
-		idle = defaultIdle
+// Put returns a connection for reuse; idleTimeout is how long the peer said that it keeps
+// an idle connection, 0 if it said nothing.
+func (p *Pool) Keep(conn *Conn, idleTimeout time.Duration) {
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdleTimeout
 	}
 	conn.SetDeadline(time.Time{})
 	conn.idleSince = p.now()
-	conn.idleFor = time.Duration(float64(idle) * idleMargin)
+	conn.maxIdle = time.Duration(float64(idleTimeout) * idleTimeoutFraction)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[conn.Peer] = append(p.idle[conn.Peer], conn)
 }
 
-// Drop closes a connection and counts it out.
+// Drop closes a connection and no longer counts it as open.
 func (p *Pool) Drop(conn *Conn) {
 	conn.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open[conn.Peer]--; p.open[conn.Peer] <= 0 {
-		delete(p.open, conn.Peer)
+	if p.numOpen[conn.Peer]--; p.numOpen[conn.Peer] <= 0 {
+		delete(p.numOpen, conn.Peer)
 	}
 }
 
-// Sweep closes the connections that have been idle for too long.
-func (p *Pool) Sweep() {
-	for _, conn := range p.expired() {
+// CloseExpired closes the connections that have been idle for too long.
+func (p *Pool) CloseExpired() {
+	for _, conn := range p.takeExpired() {
 		p.Drop(conn)
 	}
 }
 
-func (p *Pool) expired() []*Conn {
+func (p *Pool) takeExpired() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*Conn
-	for peer, kept := range p.idle {
-		good := kept[:0]
-		for _, conn := range kept {
-			if p.now().Sub(conn.idleSince) >= conn.idleFor {
+	for peer, conns := range p.idle {
+		remaining := conns[:0]
+		for _, conn := range conns {
+			if p.now().Sub(conn.idleSince) >= conn.maxIdle {
 				out = append(out, conn)
 				continue
 			}
-			good = append(good, conn)
+			remaining = append(remaining, conn)
 		}
-		p.idle[peer] = good
-		if len(good) == 0 {
+		p.idle[peer] = remaining
+		if len(remaining) == 0 {
 			delete(p.idle, peer)
 		}
 	}
 	return out
 }
 
-// Forget closes every idle connection to a peer, which has left or whose open
-// connections have gone silent.
+// CloseIdle closes all idle connections to a peer. It is used when the peer has left or its
+// open connections have gone silent.
 func (p *Pool) Forget(peer string) {
 	p.mu.Lock()
-	kept := p.idle[peer]
+	conns := p.idle[peer]
 	delete(p.idle, peer)
 	p.mu.Unlock()
-	for _, conn := range kept {
+	for _, conn := range conns {
 		p.Drop(conn)
 	}
 }
--- a/pkg/httpconn/pool_test.go
+++ b/pkg/httpconn/pool_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// peer accepts connections and hands them over.
-func peer(t *testing.T) (address string, accepted chan net.Conn) {
+// startPeer starts a listener and returns its address and a channel of the accepted connections.
+func startPeer(t *testing.T) (address string, accepted chan net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,7 +27,7 @@
 	return listener.Addr().String(), accepted
 }
 
-func dial(t *testing.T, p *Pool, address string) *Conn {
+func dialPeer(t *testing.T, p *Pool, address string) *Conn {
 	t.Helper()
 	conn, err := Dial(t.Context(), address, time.Second)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return conn
 }
 
-// await waits until a condition holds that the network brings about.
-func await(t *testing.T, holds func() bool) {
+// waitUntil waits for a condition that becomes true once data has arrived over the network.
+func waitUntil(t *testing.T, holds func() bool) {
 	t.Helper()
 	for range 1000 {
 		if holds() {
@@ -46,12 +46,12 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("gave up waiting")
+	t.Fatal("condition not met after 1000 checks")
 }
 
-// An upstream closes a kept connection, or sends an answer that nobody asked for
-// on it. The next caller's request must not go out there: it would be lost, or
-// get another's answer.
+// Guards against reusing an idle connection that an upstream has closed or has sent an
+// unsolicited answer on. The next client's request would be lost, or get an answer that
+// belongs to another request.
 func TestSpoiledConnectionIsNotReused(t *testing.T) {
 	cases := []struct {
 		description string
@@ -66,38 +66,39 @@
 	}
 	for _, c := range cases {
 		t.Run(c.description, func(t *testing.T) {
-			address, accepted := peer(t)
+			address, accepted := startPeer(t)
 			p := NewPool(time.Now)
-			conn := dial(t, p, address)
+			conn := dialPeer(t, p, address)
 			c.spoil(<-accepted)
-			await(t, func() bool { return !conn.alive() })
+			waitUntil(t, func() bool { return !conn.isReusable() })
 			p.Keep(conn, time.Minute)
 			if p.Take(address) != nil {
-				t.Error("a spoiled connection was handed out")
+				t.Error("Get returned an unusable connection")
 			}
 			if p.Open(address) != 0 {
-				t.Error("it still counts as open")
+				t.Error("the unusable connection still counts as open")
 			}
 		})
 	}
 }
 
-// A good connection is handed out again while it is young enough: well before the
-// peer's own limit, since a request that crosses its close may or may not have run.
+// Guards against reusing an idle connection shortly before the peer's idle timeout: a request
+// that crosses the peer's close may or may not have run. Until idleTimeoutFraction of the
+// timeout, the connection must be reused.
 func TestKeptConnectionIsReusedInTime(t *testing.T) {
-	address, accepted := peer(t)
+	address, accepted := startPeer(t)
 	now := time.Now()
 	p := NewPool(func() time.Time { return now })
-	conn := dial(t, p, address)
+	conn := dialPeer(t, p, address)
 	defer func() { _ = (<-accepted).Close() }()
 	p.Keep(conn, 10*time.Second)
 	now = now.Add(5 * time.Second)
 	if p.Take(address) != conn {
-		t.Fatal("a good connection was not handed out")
+		t.Fatal("Get did not return a usable connection")
 	}
 	p.Keep(conn, 10*time.Second)
 	now = now.Add(7 * time.Second)
 	if p.Take(address) != nil {
-		t.Error("an old connection was handed out")
+		t.Error("Get returned a connection that was idle for too long")
 	}
 }
--- /dev/null
+++ b/pkg/httpconn/prober.go
@@ -0,0 +1,104 @@
+package httpconn
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// Times of a probe of a peer whose connection ended.
+const (
+	// probeTimeout bounds a probe; the address of a process that has ended refuses connections
+	// within a round trip.
+	probeTimeout = 150 * time.Millisecond
+	// probeResultLifetime is how long the result of one probe is used for all connections that
+	// ended together. After that, the peer's next process may listen at the same address.
+	probeResultLifetime = 250 * time.Millisecond
+)
+
+// PeerState is the result of a probe.
+type PeerState string
+
+// States of a peer.
+const (
+	// Crashed peers refuse connections: nothing listens at the address any more.
+	Crashed PeerState = "crashed"
+	// Answering peers accept connections: only the one connection ended.
+	Answering PeerState = "answers"
+	// SilentPeer is the state of a peer that neither accepted nor refused a connection in time.
+	SilentPeer PeerState = "silent"
+)
+
+// PeerProber distinguishes crashed peers from connections that ended. It probes a peer once for all
+// connections that end together. It is safe for concurrent use.
+type PeerProber struct {
+	pool *Pool
+	now  func() time.Time
+
+	mu     sync.Mutex
+	probes map[string]*probe // by address
+}
+
+type probe struct {
+	startedAt time.Time
+	done      chan struct{}
+	state     PeerState
+}
+
+// NewPeerProber returns a prober that puts the connections it opens into a pool; nil to close them.
+func NewLookout(pool *Pool, now func() time.Time) *PeerProber {
+	return &PeerProber{pool: pool, now: now, probes: map[string]*probe{}}
+}
+
+// Probe returns the state of the peer at an address, within probeTimeout.
+func (p *PeerProber) Look(address string) PeerState {
+	p.mu.Lock()
+	p.dropExpired()
+	current := p.probes[address]
+	if current != nil {
+		p.mu.Unlock()
+		<-current.done
+		return current.state
+	}
+	current = &probe{startedAt: p.now(), done: make(chan struct{})}
+	p.probes[address] = current
+	p.mu.Unlock()
+	current.state = p.dial(address)
+	close(current.done)
+	return current.state
+}
+
+func (p *PeerProber) dial(address string) PeerState {
+	conn, err := Dial(context.Background(), address, probeTimeout)
+	switch {
+	case err == nil:
+		p.keepConn(conn)
+		return Answering
+	case errors.Is(err, syscall.ECONNREFUSED):
+		return Crashed
+	default:
+		return SilentPeer
+	}
+}
+
+// keepConn puts the probe's connection into the pool, so that it can serve a request.
+func (p *PeerProber) keepConn(conn *Conn) {
+	if p.pool == nil {
+		conn.Close()
+		return
+	}
+	p.pool.Opened(conn.Peer)
+	p.pool.Keep(conn, 0)
+}
+
+// dropExpired drops the results that are too old to be used; the caller holds p.mu. It goes through all
+// results, which are few because few peers crash at a time.
+func (p *PeerProber) dropExpired() {
+	for address, result := range p.probes {
+		if p.now().Sub(result.startedAt) >= probeResultLifetime {
+			delete(p.probes, address)
+		}
+	}
+}
--- a/pkg/router/background.go
+++ b/pkg/router/background.go
@@ -146,7 +146,7 @@
 
 func (r *Router) housekeep(context.Context) {
 	r.coldLimit.Observe()
-	r.conns.Sweep()
+	r.conns.CloseExpired()
 	for name, follower := range r.followers {
 		r.ageMonitor.Look(name, follower)
 	}
--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -112,7 +112,7 @@
 q=pkg/quarantine
 try three-crashes-condemn $q/record.go 's/return inARow >= CondemnAtMost \|\| \(inARow > 0 && r\.Verdict > r\.Cleared\)/return inARow < 0/' test TestRequestThatCrashesUpstreamsIsSentOnAFewTimesOnly
 try own-door-counts-crashes pkg/entry/crash.go 's/evidence = quarantine\.(ConnectionEnded|NoAnswer)/evidence = quarantine.NoEvidence/g' test TestOwnDoorSendsAFatalRequestAFewTimesOnly
-try crash-is-no-reset pkg/httpconn/lookout.go 's/return Answering/return Crashed/' pkg/httpconn TestLookoutTellsCrashedFromReset
+try crash-is-no-reset pkg/httpconn/prober.go 's/return Answering/return Crashed/' pkg/httpconn TestLookoutTellsCrashedFromReset
 try suspects-run-one-at-a-time $q/table.go 's/e\.Started > e\.Ended && now\.Before\(e\.heldUntil\)/false/' $q TestSuspectedRequestsRunOneAtATime
 try crashes-are-told $q/spread.go 's/\t\t\ts\.tell\(ctx\)\n//; s/\t\t\ts\.compare\(ctx, address\)\n/\t\t\t_ = address\n/' $q TestFewUpstreamsCrashUnderOneRequest
 try differing-tables-are-compared $q/spread.go 's/\t\t\ts\.compare\(ctx, address\)\n/\t\t\t_ = address\n/' $q TestInstanceThatStartsLearnsWhatIsCondemned
