--- a/pkg/life/life.go
+++ b/pkg/life/life.go
@@ -1,5 +1,5 @@
-// Package life is the course of one process, from its start to its planned stop,
-// and of its tie to the store, as they are told in the event log.
+// Package life tracks and logs the lifecycle of a process, from its start to its planned
+// stop, and whether the store is available to it.
 package life
 
 import (
@@ -19,20 +19,20 @@
 	Stopped  = "stopped"
 )
 
-// Triggers between them.
+// Triggers of the transitions between states.
 const (
 	triggerSynced = "synced"
 	triggerStop   = "stop"
 	triggerDone   = "done"
 )
 
-// Life is the state of one process. Its owner calls Synced at most once, then
+// Lifecycle is the state machine of a process. Its owner calls Synced at most once, then
 // Stop, then Done.
 type Life struct{ machine *stateless.StateMachine }
 
-// New returns the life of a process that is starting.
+// New returns the lifecycle of a process that is starting.
 func New(log *eventlog.Log) *Life {
-	tell := func(number eventlog.Number) func(context.Context, ...any) error {
+	logEvent := func(number eventlog.Number) func(context.Context, ...any) error {
 		return func(context.Context, ...any) error {
 			log.Event(number, "", nil)
 			return nil
@@ -40,60 +40,60 @@
 	}
 	machine := stateless.NewStateMachine(Starting)
 	machine.Configure(Starting).Permit(triggerSynced, Ready).Permit(triggerStop, Draining)
-	machine.Configure(Ready).OnEntry(tell(eventlog.InstanceReady)).Permit(triggerStop, Draining)
-	machine.Configure(Draining).OnEntry(tell(eventlog.InstanceDraining)).Permit(triggerDone, Stopped)
-	machine.Configure(Stopped).OnEntry(tell(eventlog.InstanceStopped))
+	machine.Configure(Ready).OnEntry(logEvent(eventlog.InstanceReady)).Permit(triggerStop, Draining)
+	machine.Configure(Draining).OnEntry(logEvent(eventlog.InstanceDraining)).Permit(triggerDone, Stopped)
+	machine.Configure(Stopped).OnEntry(logEvent(eventlog.InstanceStopped))
 	return &Life{machine: machine}
 }
 
-// Synced says that the process may serve.
+// Synced reports that the process can serve.
 func (l *Life) Synced() { l.fire(triggerSynced) }
 
-// Stop says that a planned stop has begun.
+// Stop reports that a planned stop has begun.
 func (l *Life) Stop() { l.fire(triggerStop) }
 
-// Done says that nothing is left to be done.
+// Done reports that the planned stop is complete.
 func (l *Life) Done() { l.fire(triggerDone) }
 
-// fire moves on. The owner calls each once and in order, so none is refused.
+// fire makes a transition. The owner triggers each at most once and in order, so none is rejected.
 func (l *Life) fire(trigger string) { _ = l.machine.Fire(trigger) }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Life) State() string { return l.machine.MustState().(string) }
 
-// StoreTie tells in the log when the store stops and starts to answer. It is safe
+// StoreMonitor logs when the store stops answering and when it answers again. It is safe
 // for concurrent use.
 type StoreTie struct {
 	log *eventlog.Log
 
-	mu sync.Mutex
-	up bool
+	mu        sync.Mutex
+	available bool
 }
 
-// NewStoreTie returns a tie that counts as standing.
-func NewStoreTie(log *eventlog.Log) *StoreTie { return &StoreTie{log: log, up: true} }
+// NewStoreMonitor returns a monitor that takes the store to be available at first.
+func NewStoreTie(log *eventlog.Log) *StoreTie { return &StoreTie{log: log, available: true} }
 
-// Note takes the result of a call, nil if the store answered it, and reports whether this
-// ended an outage: of many calls that are answered at once, for one only.
-func (s *StoreTie) Note(err error) (back bool) {
+// Record records the result of a call, nil if the store answered it, and reports whether this
+// ended an outage. If many calls are answered at once, it reports so for only one of them.
+func (s *StoreTie) Note(err error) (recovered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	up := err == nil
-	if up == s.up {
+	available := err == nil
+	if available == s.available {
 		return false
 	}
-	s.up = up
-	if up {
+	s.available = available
+	if available {
 		s.log.Event(eventlog.StoreReachable, "", nil)
 	} else {
 		s.log.Event(eventlog.StoreUnreachable, "", eventlog.Fields{"cause": err.Error()})
 	}
-	return up
+	return available
 }
 
-// Up reports whether the last call was answered.
+// Available reports whether the store answered the last call.
 func (s *StoreTie) Up() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.up
+	return s.available
 }
--- a/pkg/life/life_test.go
+++ b/pkg/life/life_test.go
@@ -7,28 +7,28 @@
 	"github.com/lavenderring/lavenderring/pkg/eventlog"
 )
 
-// A process that is told to stop before it could serve drains and ends all the same.
+// A process that is stopped before it could serve must still drain and end.
 func TestStopBeforeReady(t *testing.T) {
 	l := New(eventlog.Discard("p"))
 	l.Stop()
 	l.Done()
 	if l.State() != Stopped {
-		t.Errorf("state is %s", l.State())
+		t.Errorf("state after the stop is %s", l.State())
 	}
 }
 
-// Many calls fail in an outage; the log tells of its begin and its end only, and one answer
-// counts as its end.
+// Many calls fail during an outage. Only its start and its end must be logged, and only the first
+// answer must count as its end.
 func TestOutageIsToldOnce(t *testing.T) {
 	log := eventlog.Discard("p")
-	tie := NewStoreTie(log)
+	monitor := NewStoreTie(log)
 	ends := 0
 	for _, err := range []error{nil, errors.New("a"), errors.New("b"), nil, nil} {
-		if tie.Note(err) {
+		if monitor.Note(err) {
 			ends++
 		}
 	}
-	if events := log.Recent(""); len(events) != 2 || ends != 1 || !tie.Up() {
-		t.Errorf("%d events, %d ends", len(events), ends)
+	if events := log.Recent(""); len(events) != 2 || ends != 1 || !monitor.Up() {
+		t.Errorf("%d events logged, expected 2; %d ends of the outage, expected 1", len(events), ends)
 	}
 }
