--- a/pkg/door/door.go
+++ b/pkg/door/door.go
@@ -1,5 +1,5 @@
-// Package door is where clients come in: it takes requests from connections,
-// checks their framing, hands them to the pipeline and writes the answers.
+// Package door is the server for clients: it reads requests from connections,
+// checks their framing, passes them to the pipeline and writes the answers.
 package door
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/lavenderring/lavenderring/pkg/httpserve"
 )
 
-// maxBodyBytes bounds a body before the configuration's own limit is looked at.
+// maxBodyBytes bounds a body before the configuration's own limit is checked.
 const maxBodyBytes = 16 << 20
 
-// closedRetry is when a client may come back that reached an instance in its last
-// moment: at once, since the balancer sends it elsewhere.
-const closedRetry = 50 * time.Millisecond
+// stoppingRetryAfter is when a client may retry whose request reached an instance just before it
+// closes its connections: almost at once, since the load balancer sends the request elsewhere.
+const stoppingRetryAfter = 50 * time.Millisecond
 
-// Format is the platform's way to write requests and refusals.
+// Format decodes requests and encodes refusals in the platform's format.
 type Format interface {
 	DecodeRequest(h *protocol.RequestHeader, body []byte, now time.Time) *forward.Request
 	EncodeRefusal(refusal *forward.Refusal) (status int, header []forward.Header)
@@ -36,106 +36,106 @@
 	Serve(ctx context.Context, r *forward.Request, client forward.Client)
 }
 
-// Options sizes a door.
+// Options configures a Server.
 type Options struct {
 	// Address is the IP address and port to listen on.
 	Address string
-	// ReadTimeout bounds the reading of one request.
+	// ReadTimeout bounds the time to read one request.
 	ReadTimeout time.Duration
 	Format      Format
 	Pipeline    Pipeline
-	// Overloaded reports whether callers are better served elsewhere: answers are then the last
-	// of their connections. It may be nil.
+	// Overloaded reports whether other instances can serve clients better: each answer is then the
+	// last on its connection. It may be nil.
 	Overloaded func() bool
 }
 
-// Door serves clients.
-type Door struct {
-	opts     Options
-	server   *httpserve.Server
-	draining atomic.Bool
-	closing  atomic.Bool
-	active   atomic.Int64
+// Server serves clients.
+type Server struct {
+	opts       Options
+	httpServer *httpserve.Server
+	draining   atomic.Bool
+	refusing   atomic.Bool
+	numActive  atomic.Int64
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 }
 
-// Listen binds the address.
-func Listen(opts Options) (*Door, error) {
-	d := &Door{opts: opts, conns: map[net.Conn]bool{}}
+// Listen returns a server that is bound to its address and does not serve yet.
+func Listen(opts Options) (*Server, error) {
+	s := &Server{opts: opts, conns: map[net.Conn]bool{}}
 	server, err := httpserve.Listen(httpserve.Options{
 		Address:      opts.Address,
 		MaxBodyBytes: maxBodyBytes,
 		ReadTimeout:  opts.ReadTimeout,
 		SenseLeaving: true,
-		WrapConn:     d.track,
+		WrapConn:     s.trackConn,
 	})
 	if err != nil {
 		return nil, err
 	}
-	d.server = server
-	server.NoRoute(d.handle)
-	return d, nil
+	s.httpServer = server
+	server.NoRoute(s.handle)
+	return s, nil
 }
 
 // Serve answers clients until Close.
-func (d *Door) Serve() { d.server.Serve() }
+func (s *Server) Serve() { s.httpServer.Serve() }
 
-// Drain makes every answer from now on the last of its connection.
-func (d *Door) Drain() { d.draining.Store(true) }
+// Drain makes every answer from now on the last on its connection.
+func (s *Server) Drain() { s.draining.Store(true) }
 
-// Refuse ends the taking of requests: those that are read from now on are refused as
-// not run. When Active then returns 0, nothing is passed on any more. Without it a
-// request that is read between the last look at Active and Close would be passed on
-// and its connection closed.
-func (d *Door) Refuse() { d.closing.Store(true) }
+// Refuse makes the server refuse all requests that are read from now on as not run. When
+// NumActive then returns 0, no more requests are passed to the pipeline. Without Refuse, a
+// request that is read between the last call of NumActive and Close would be passed on
+// and then its connection closed.
+func (s *Server) Refuse() { s.refusing.Store(true) }
 
-// Active returns how many requests are in progress.
-func (d *Door) Active() int64 { return d.active.Load() }
+// NumActive returns the number of requests in progress.
+func (s *Server) NumActive() int64 { return s.numActive.Load() }
 
-// Close ends every connection and the server.
-func (d *Door) Close() {
-	d.server.StopListening()
-	d.mu.Lock()
-	for conn := range d.conns {
+// Close closes all connections and stops the server.
+func (s *Server) Close() {
+	s.httpServer.StopListening()
+	s.mu.Lock()
+	for conn := range s.conns {
 		_ = conn.Close()
 	}
-	d.mu.Unlock()
-	d.server.Close()
+	s.mu.Unlock()
+	s.httpServer.Close()
 }
 
-// trackedConn is taken off the list when it is closed.
+// trackedConn removes itself from the server's connections when it is closed.
 type trackedConn struct {
 	net.Conn
-	door *Door
+	server *Server
 }
 
 // Close implements net.Conn.
 func (c *trackedConn) Close() error {
-	c.door.mu.Lock()
-	delete(c.door.conns, c.Conn)
-	c.door.mu.Unlock()
+	c.server.mu.Lock()
+	delete(c.server.conns, c.Conn)
+	c.server.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// overloaded reports whether callers are better served elsewhere: one that keeps its connection comes
-// back to this instance with each request.
-func (d *Door) overloaded() bool { return d.opts.Overloaded != nil && d.opts.Overloaded() }
+// overloaded reports whether other instances can serve clients better. A client that kept its connection
+// would send each request to this instance.
+func (s *Server) overloaded() bool { return s.opts.Overloaded != nil && s.opts.Overloaded() }
 
-func (d *Door) track(conn net.Conn) net.Conn {
-	d.mu.Lock()
-	d.conns[conn] = true
-	d.mu.Unlock()
-	return &trackedConn{Conn: conn, door: d}
+func (s *Server) trackConn(conn net.Conn) net.Conn {
+	s.mu.Lock()
+	s.conns[conn] = true
+	s.mu.Unlock()
+	return &trackedConn{Conn: conn, server: s}
 }
 
-func (d *Door) handle(ctx context.Context, c *app.RequestContext) {
-	d.active.Add(1)
-	defer d.active.Add(-1)
-	w := &writer{ctx: ctx, c: c, door: d}
-	if d.closing.Load() { // looked at after the request was counted in
-		w.Refuse(&forward.Refusal{Reason: forward.Stopping, RetryAfter: closedRetry})
+func (s *Server) handle(ctx context.Context, c *app.RequestContext) {
+	s.numActive.Add(1)
+	defer s.numActive.Add(-1)
+	w := &responseWriter{ctx: ctx, c: c, server: s}
+	if s.refusing.Load() { // checked after the request was counted as active, see Refuse
+		w.Refuse(&forward.Refusal{Reason: forward.Stopping, RetryAfter: stoppingRetryAfter})
 		return
 	}
 	if err := checkFraming(c.Request.Header.RawHeaders()); err != nil {
@@ -143,44 +143,44 @@
 		w.Refuse(&forward.Refusal{Reason: forward.Malformed, Step: "framing", Err: err})
 		return
 	}
-	r := d.opts.Format.DecodeRequest(&c.Request.Header, c.Request.Body(), time.Now())
-	d.opts.Pipeline.Serve(ctx, r, w)
+	r := s.opts.Format.DecodeRequest(&c.Request.Header, c.Request.Body(), time.Now())
+	s.opts.Pipeline.Serve(ctx, r, w)
 }
 
-// errAborted ends a connection whose answer is not whole.
-var errAborted = errors.New("answer was aborted")
+// errAborted makes the library close a connection whose answer is incomplete.
+var errAborted = errors.New("answer was aborted before its end")
 
-// writer writes one answer. It implements forward.Client and, for streams, the
-// library's response writer.
-type writer struct {
-	// ctx is the handler's; it ends when the client has left.
+// responseWriter writes one answer. It implements forward.Client; streams are written through
+// a streamWriter.
+type responseWriter struct {
+	// ctx is the handler's; it ends when the client is gone.
 	ctx     context.Context
 	c       *app.RequestContext
-	door    *Door
+	server  *Server
 	aborted bool
 }
 
-func (w *writer) head(status int, header []forward.Header) {
+func (w *responseWriter) setHead(status int, header []forward.Header) {
 	w.c.SetStatusCode(status)
 	for _, h := range header {
 		w.c.Response.Header.Add(h.Name, h.Value)
 	}
-	if w.door.draining.Load() || w.door.overloaded() {
+	if w.server.draining.Load() || w.server.overloaded() {
 		w.c.SetConnectionClose()
 	}
 }
 
 // Answer implements forward.Client.
-func (w *writer) Answer(status int, header []forward.Header, body []byte) error {
-	w.head(status, header)
+func (w *responseWriter) Answer(status int, header []forward.Header, body []byte) error {
+	w.setHead(status, header)
 	w.c.Response.SetBodyRaw(body)
 	return nil
 }
 
 // Refuse implements forward.Client.
-func (w *writer) Refuse(refusal *forward.Refusal) {
-	status, header := w.door.opts.Format.EncodeRefusal(refusal)
-	w.head(status, header)
+func (w *responseWriter) Refuse(refusal *forward.Refusal) {
+	status, header := w.server.opts.Format.EncodeRefusal(refusal)
+	w.setHead(status, header)
 	w.c.Response.Header.SetContentType("application/problem+json")
 	w.c.Response.SetBodyString(`{"title":"` + string(refusal.Reason) + `"}`)
 	if status == consts.StatusBadRequest {
--- a/pkg/door/door_test.go
+++ b/pkg/door/door_test.go
@@ -12,7 +12,7 @@
 	"github.com/lavenderring/lavenderring/pkg/forward"
 )
 
-// plainFormat decodes nothing and gives every refusal one status.
+// plainFormat decodes every request as empty and encodes every refusal with status 503.
 type plainFormat struct{}
 
 func (plainFormat) DecodeRequest(*protocol.RequestHeader, []byte, time.Time) *forward.Request {
@@ -23,17 +23,17 @@
 	return http.StatusServiceUnavailable, []forward.Header{{Name: "X-Reason", Value: string(r.Reason)}}
 }
 
-// counting answers every request and counts them.
-type counting struct{ passed int }
+// countingPipeline answers all requests and counts them.
+type countingPipeline struct{ numPassed int }
 
-func (c *counting) Serve(_ context.Context, _ *forward.Request, client forward.Client) {
-	c.passed++
+func (c *countingPipeline) Serve(_ context.Context, _ *forward.Request, client forward.Client) {
+	c.numPassed++
 	_ = client.Answer(http.StatusOK, nil, []byte("done"))
 }
 
-// An instance is about to close its connections, and a request is read in that
-// moment. It is not passed on, for its answer would be cut off; its client is told
-// "not run".
+// A request is read while an instance is about to close its connections. It must not
+// be passed to the pipeline, because its answer would be cut off; its client must be
+// told "not run".
 func TestNothingIsPassedOnBeforeClosing(t *testing.T) {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 	address := probe.Addr().String()
 	_ = probe.Close()
-	pipeline := &counting{}
+	pipeline := &countingPipeline{}
 	d, err := Listen(Options{Address: address, ReadTimeout: time.Second, Format: plainFormat{}, Pipeline: pipeline})
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 		_ = resp.Body.Close()
 		statuses = append(statuses, resp.StatusCode)
 	}
-	if statuses[0] != http.StatusOK || statuses[1] != http.StatusServiceUnavailable || pipeline.passed != 1 {
-		t.Errorf("statuses %v, %d passed on", statuses, pipeline.passed)
+	if statuses[0] != http.StatusOK || statuses[1] != http.StatusServiceUnavailable || pipeline.numPassed != 1 {
+		t.Errorf("statuses %v, %d requests passed to the pipeline", statuses, pipeline.numPassed)
 	}
 }
--- a/pkg/door/framing.go
+++ b/pkg/door/framing.go
@@ -5,23 +5,23 @@
 	"errors"
 )
 
-// Faults of a request's framing. Two readers that disagree on where such a
-// request ends make one client's bytes another request, so it is answered with
-// 400 and its connection closed.
+// Errors in a request's framing. If two HTTP implementations disagree on where such a
+// request ends, part of one client's data is read as another request (request
+// smuggling). It is therefore answered with status 400 and its connection closed.
 var (
-	errBareNewline   = errors.New("line feed without carriage return")
-	errFolded        = errors.New("folded header line")
-	errLengths       = errors.New("more than one length")
-	errLengthChunks  = errors.New("both a length and chunks")
-	errLengthDigits  = errors.New("length is not digits only")
-	errTransferCode  = errors.New("transfer coding other than chunked")
-	errHeaderName    = errors.New("header line without a proper name")
-	errControlOctets = errors.New("control octet in a header line")
+	errBareLineFeed      = errors.New("header line ends with a line feed without a carriage return")
+	errFoldedLine        = errors.New("folded header line")
+	errRepeatedFraming   = errors.New("more than one Content-Length or Transfer-Encoding header")
+	errLengthAndChunked  = errors.New("both a length and chunks")
+	errInvalidLength     = errors.New("Content-Length is not digits only")
+	errTransferCoding    = errors.New("Transfer-Encoding is not chunked")
+	errInvalidHeaderName = errors.New("header line without a valid name")
+	errControlChars      = errors.New("carriage return or NUL within a header line")
 )
 
-// checkFraming checks a request's header lines as they came.
+// checkFraming checks a request's raw header lines.
 func checkFraming(raw []byte) error {
-	lengths, codings := 0, 0
+	numLengths, numCodings := 0, 0
 	for len(raw) > 0 {
 		end := bytes.IndexByte(raw, '\n')
 		if end < 0 {
@@ -32,46 +32,46 @@
 		if end > 0 && line[len(line)-1] == '\r' {
 			line = line[:len(line)-1]
 		} else if end > 0 {
-			return errBareNewline
+			return errBareLineFeed
 		}
 		if len(line) == 0 {
 			break
 		}
-		if err := checkLine(line, &lengths, &codings); err != nil {
+		if err := checkLine(line, &numLengths, &numCodings); err != nil {
 			return err
 		}
 	}
 	switch {
-	case lengths > 1 || codings > 1:
-		return errLengths
-	case lengths > 0 && codings > 0:
-		return errLengthChunks
+	case numLengths > 1 || numCodings > 1:
+		return errRepeatedFraming
+	case numLengths > 0 && numCodings > 0:
+		return errLengthAndChunked
 	}
 	return nil
 }
 
-func checkLine(line []byte, lengths, codings *int) error {
+func checkLine(line []byte, numLengths, numCodings *int) error {
 	if line[0] == ' ' || line[0] == '\t' {
-		return errFolded
+		return errFoldedLine
 	}
 	if bytes.ContainsAny(line, "\r\x00") {
-		return errControlOctets
+		return errControlChars
 	}
 	name, value, found := bytes.Cut(line, []byte(":"))
 	if !found || len(name) == 0 || bytes.ContainsAny(name, " \t") {
-		return errHeaderName
+		return errInvalidHeaderName
 	}
 	value = bytes.Trim(value, " \t")
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
-		*lengths++
+		*numLengths++
 		if len(value) == 0 || len(bytes.Trim(value, "0123456789")) > 0 {
-			return errLengthDigits
+			return errInvalidLength
 		}
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		*codings++
+		*numCodings++
 		if !bytes.EqualFold(value, []byte("chunked")) {
-			return errTransferCode
+			return errTransferCoding
 		}
 	}
 	return nil
--- a/pkg/door/framing_test.go
+++ b/pkg/door/framing_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A client sends a request whose end two readers would see at different places;
-// what lies between would be read as a request of its own. It is answered with
-// 400 and its connection closed.
+// Guards against request smuggling: two HTTP implementations see the end of a request at
+// different places, and what lies between is read as another request. The framing of such
+// a request must be rejected.
 func TestAmbiguousFramingIsRefused(t *testing.T) {
 	cases := []struct {
 		description, head string
@@ -32,13 +32,13 @@
 	for _, c := range cases {
 		t.Run(c.description, func(t *testing.T) {
 			if err := checkFraming([]byte(c.head)); (err != nil) != c.refused {
-				t.Errorf("got %v", err)
+				t.Errorf("checkFraming returned %v", err)
 			}
 		})
 	}
 }
 
-// Whatever comes, the check ends and does not panic.
+// For any input, checkFraming must return and not panic.
 func FuzzCheckFraming(f *testing.F) {
 	f.Add([]byte("Host: h\r\n\r\n"))
 	f.Add([]byte("\n:\r"))
--- a/pkg/door/stream.go
+++ b/pkg/door/stream.go
@@ -7,15 +7,15 @@
 	"github.com/lavenderring/lavenderring/pkg/httpserve"
 )
 
-// streamWriter stands between the library and its chunked writer, so that an
-// answer that broke off is never ended as a whole one.
+// streamWriter wraps the library's chunked writer, so that an answer that broke off
+// never gets the final chunk, which would mark it as complete.
 type streamWriter struct {
 	chunks interface {
 		Write([]byte) (int, error)
 		Flush() error
 		Finalize() error
 	}
-	w *writer
+	w *responseWriter
 }
 
 // Write implements network.ExtWriter.
@@ -25,7 +25,7 @@
 func (s *streamWriter) Flush() error { return s.chunks.Flush() }
 
 // Finalize implements network.ExtWriter. The library calls it when the handler
-// has returned; its error closes the connection without the end mark.
+// has returned; an error closes the connection without the final chunk.
 func (s *streamWriter) Finalize() error {
 	if s.w.aborted {
 		return errAborted
@@ -38,15 +38,15 @@
 }
 
 // Begin implements forward.Client.
-func (w *writer) Begin(status int, header []forward.Header) error {
-	w.head(status, header)
+func (w *responseWriter) Begin(status int, header []forward.Header) error {
+	w.setHead(status, header)
 	chunks := resp.NewChunkedBodyWriter(&w.c.Response, w.c.GetWriter())
 	w.c.Response.HijackWriter(&streamWriter{chunks: chunks, w: w})
 	return nil
 }
 
 // Event implements forward.Client.
-func (w *writer) Event(piece []byte) error {
+func (w *responseWriter) Event(piece []byte) error {
 	out := w.c.Response.GetHijackWriter()
 	if _, err := out.Write(piece); err != nil {
 		return err
@@ -55,7 +55,7 @@
 }
 
 // Abort implements forward.Client.
-func (w *writer) Abort() {
+func (w *responseWriter) Abort() {
 	w.aborted = true
 	httpserve.Abort(w.ctx, w.c)
 }
--- a/pkg/router/admin.go
+++ b/pkg/router/admin.go
@@ -36,7 +36,7 @@
 // Times are in milliseconds.
 func (r *Router) serveMetrics(_ context.Context, c *app.RequestContext) {
 	gauge := func(name string, value int64) { metrics.GetOrRegisterGauge(name, r.metrics).Update(value) }
-	gauge("requests.active", r.clientServer.Active())
+	gauge("requests.active", r.clientServer.NumActive())
 	gauge("members.live", int64(r.table.CountLive()))
 	if age, known := r.eraAge(); known {
 		gauge("store.era_age_s", int64(age.Seconds()))
--- a/pkg/router/background.go
+++ b/pkg/router/background.go
@@ -164,7 +164,7 @@
 
 // logStatus logs counters, so that the log alone shows how a process has fared.
 func (r *Router) logStatus(context.Context) {
-	fields := eventlog.Fields{"active": r.clientServer.Active(), "members": r.table.CountLive()}
+	fields := eventlog.Fields{"active": r.clientServer.NumActive(), "members": r.table.CountLive()}
 	for name, value := range r.platform.StoreCalls(r.store) {
 		fields["store_"+name] = value
 	}
@@ -190,7 +190,7 @@
 func (r *Router) logOverload(context.Context) {
 	if overloaded := r.overloadLimit.Overloaded(); overloaded != r.loggedOverloaded {
 		r.loggedOverloaded = overloaded
-		r.log.Event(eventlog.InstanceOverload, "", eventlog.Fields{"overloaded": overloaded, "active": r.clientServer.Active()})
+		r.log.Event(eventlog.InstanceOverload, "", eventlog.Fields{"overloaded": overloaded, "active": r.clientServer.NumActive()})
 	}
 }
 
@@ -205,13 +205,13 @@
 	r.clientServer.Drain()
 	r.table.MarkLeaving()
 	for time.Now().Before(deadline) {
-		if r.clientServer.Active() == 0 && time.Since(began) >= unreadyPeriod {
+		if r.clientServer.NumActive() == 0 && time.Since(began) >= unreadyPeriod {
 			break
 		}
 		pause.For(context.Background(), drainCheckInterval)
 	}
 	r.clientServer.Refuse()
-	for r.clientServer.Active() > 0 && time.Now().Before(deadline) {
+	for r.clientServer.NumActive() > 0 && time.Now().Before(deadline) {
 		pause.For(context.Background(), drainCheckInterval)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), tokenReturnTimeout-answerFlushTime)
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -87,7 +87,7 @@
 	// loggedOverloaded is the overload state that was logged last; only one background task uses it.
 	loggedOverloaded bool
 
-	clientServer *door.Door
+	clientServer *door.Server
 	readyServer  *httpserve.Server
 	adminServer  *httpserve.Server
 	peerServer   *peer.Server
