--- a/pkg/forward/forwarder.go
+++ b/pkg/forward/forwarder.go
@@ -113,9 +113,9 @@
 // plannedStop holds when a planned stop began and when it ends.
 type plannedStop struct{ beganAt, endsAt time.Time }
 
-// StopBy announces that the instance ends at a time. From stopAcceptPeriod on, requests
-// that might last longer are refused: if they were cut off, their clients would not know
-// whether they ran.
+// StopBy announces that the instance ends at a time. Requests that arrive later than
+// stopAcceptPeriod after the announcement and might last beyond that time are refused: if
+// they were cut off, their clients would not know whether they ran.
 func (f *Forwarder) StopBy(ends time.Time) {
 	f.stop.Store(&plannedStop{beganAt: f.Now(), endsAt: ends})
 }
--- a/pkg/router/tokens.go
+++ b/pkg/router/tokens.go
@@ -31,7 +31,7 @@
 ) (*prepaidpb.RefillReply, error) {
 	reply, err := l.client.Refill(ctx, to, req)
 	if err == nil && reply.Successor != "" {
-		// In a large fleet, heartbeats would bring this news seconds later.
+		// In a large fleet, heartbeats would report the successor only seconds later.
 		l.table.Succeeded(to, reply.Successor)
 	}
 	return reply, err
