--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -74,8 +74,8 @@
 try each-kind-of-change-in-time pkg/follow/timing.go 's/t\.LastTimeout = min\(lastLimit, bound-reserved-t\.HedgeDelay\)/t.LastTimeout = lastLimit + 0*reserved/' platform TestLastInstanceHasEachKindOfChangeInTime
 try lost-calls-are-made-again pkg/follow/hedge.go 's/timer := time\.NewTimer\(delay\)/timer := time.NewTimer(time.Hour)/' pkg/follow TestLastInstanceToKnowKnowsInTime
 try unheard-ask-others pkg/follow/publisher.go 's/p\.querySomePeers\(ctx, name\)/_ = name/' pkg/follow TestLostConfirmationsCostTheStoreNothing
-try starting-instances-let-wait pkg/forward/starting.go 's/if left <= 0 \{/if left < time.Hour {/' pkg/forward TestRequestsWaitForTheConfigurationOfAStartingInstance
-try place-is-looked-at-again pkg/forward/attempt.go 's/if !a\.place\.InService\(\) \{/if false {/' pkg/forward TestUpstreamThatLeavesBeforeTheSendingGetsNothing
+try starting-instances-let-wait pkg/forward/starting.go 's/if remaining <= 0 \{/if remaining < time.Hour {/' pkg/forward TestRequestsWaitForTheConfigurationOfAStartingInstance
+try place-is-looked-at-again pkg/forward/attempt.go 's/if !a\.lease\.InService\(\) \{/if false {/' pkg/forward TestUpstreamThatLeavesBeforeTheSendingGetsNothing
 try copies-are-guarded pkg/follow/confirm.go 's/timeout := f\.confirmTimeout\(\)\n\t\treason/timeout := time.Hour\n\t\treason/' pkg/follow TestCopiesAreNeverOldOnceTheStoreAnswers
 try published-change-is-awaited pkg/follow/freshness.go 's/if !s\.position\.Before\(s\.lastPublished\) \{\n\t\treturn Unconfirmed/if true {\n\t\treturn Unconfirmed/' pkg/follow TestChangeThatNobodyHandsOnIsReadFromTheStore
 try confirmations-are-sent pkg/follow/publisher.go 's/err := p\.peers\.Confirm\(ctx, address, confirmation\)/err := error(nil)/' pkg/follow TestCallsOfACalmFleetDoNotGrowWithIt
@@ -112,7 +112,7 @@
 q=pkg/quarantine
 try three-crashes-condemn $q/record.go 's/return consecutive >= CondemnAtMost \|\| \(consecutive > 0 && r\.Verdict > r\.Cleared\)/return consecutive < 0/' test TestRequestThatCrashesUpstreamsIsSentOnAFewTimesOnly
 try own-door-counts-crashes pkg/entry/crash.go 's/evidence = quarantine\.(ConnectionEnded|NoAnswer)/evidence = quarantine.NoEvidence/g' test TestOwnDoorSendsAFatalRequestAFewTimesOnly
-try crash-is-no-reset pkg/httpconn/lookout.go 's/return Answering/return Crashed/' pkg/httpconn TestLookoutTellsCrashedFromReset
+try crash-is-no-reset pkg/httpconn/prober.go 's/return Answering/return Crashed/' pkg/httpconn TestLookoutTellsCrashedFromReset
 try suspects-run-one-at-a-time $q/table.go 's/e\.Started > e\.Ended && now\.Before\(e\.trialExpiry\)/false/' $q TestSuspectedRequestsRunOneAtATime
 try crashes-are-told $q/spread.go 's/\t\t\ts\.push\(ctx\)\n//; s/\t\t\ts\.compare\(ctx, address\)\n/\t\t\t_ = address\n/' $q TestFewUpstreamsCrashUnderOneRequest
 try differing-tables-are-compared $q/spread.go 's/\t\t\ts\.compare\(ctx, address\)\n/\t\t\t_ = address\n/' $q TestInstanceThatStartsLearnsWhatIsCondemned
@@ -121,8 +121,8 @@
 try one-word-condemns-nobody $q/record.go 's/reporters > 1 \|\| r\.Crashes\[instance\] > r\.Cleared/true/' $q TestWordOfOneInstanceDoesNotCondemn
 try condemned-are-not-evicted $q/bound.go 's/ \|\| e\.IsCondemned\(\)//' $q TestTableFullOfCondemnedKeepsThem
 try verdicts-are-stored-again pkg/router/era.go 's/\tr\.quarantine\.StoreAgain\(\)\n//' test TestCondemnedRequestStaysSoAfterALossOfAll
-try verdicts-are-recovered pkg/router/duties.go 's/\tr\.duty\(r\.recoverVerdicts\)\n//' test TestCondemnedRequestStaysSoAfterALossOfAll
-try starts-wait-for-the-quarantine pkg/router/duties.go 's/return r\.awaitQuarantine\(ctx\)/return true/; s/\tr\.duty\(r\.quarantine\.Spread\)\n//; s/\tr\.duty\(r\.recoverVerdicts\)\n//' test TestStartingInstanceKnowsWhatIsCondemned
+try verdicts-are-recovered pkg/router/background.go 's/\tr\.runInBackground\(r\.recoverVerdicts\)\n//' test TestCondemnedRequestStaysSoAfterALossOfAll
+try starts-wait-for-the-quarantine pkg/router/background.go 's/return r\.awaitQuarantine\(ctx\)/return true/; s/\tr\.runInBackground\(r\.quarantine\.Spread\)\n//; s/\tr\.runInBackground\(r\.recoverVerdicts\)\n//' test TestStartingInstanceKnowsWhatIsCondemned
 try endings-are-undecided $q/conclude.go 's/suspected := r\.Broke\(attempt\.Origin, attempt\.Upstream, at\)/suspected := false/' test TestCrashIsKnownByTheNextIncarnation
 try undecided-endings-hold-back $q/table.go 's/return undecided > 0 && .*/return false \&\& undecided+crashes > 0/' $q TestUndecidedEndingsHoldARequestBack
 try same-process-refutes $q/undecided.go 's/key\.Incarnation != incarnation$/true/m' $q TestEndingIsRefutedByTheSameIncarnation
