--- a/cmd/lavenderring/main.go
+++ b/cmd/lavenderring/main.go
@@ -216,7 +216,7 @@
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(s.MemoryMB << 20 * memoryLimitPercent / 100)
 	}
-	out := eventlog.NewBounded(os.Stdout, time.Now)
+	out := eventlog.NewBoundedWriter(os.Stdout, time.Now)
 	defer out.Close()
 	r, err := router.New(s, platform.Adapter(), out)
 	if err != nil {
--- a/pkg/bill/bill_test.go
+++ b/pkg/bill/bill_test.go
@@ -55,7 +55,7 @@
 	keeper := NewKeeper(store)
 	j := NewJournal("i", store, lossyPeer{keeper, rng}, func() string { return "peer" })
 	silent := func(string) bool { return true }
-	store.SetBetween(0.2, func() { _ = keeper.TakeOver(ctx, silent) })
+	store.SetBeforeWrite(0.2, func() { _ = keeper.TakeOver(ctx, silent) })
 	billed := 0
 	var running []string
 	for range 150 {
@@ -88,7 +88,7 @@
 // nothing is.
 func finishHistory(ctx context.Context, store *storefake.Store, keeper *Keeper, j *Journal, crashes bool, billed int) string {
 	store.SetFaults(false, 0)
-	store.SetBetween(0, nil)
+	store.SetBeforeWrite(0, nil)
 	if crashes {
 		for j.Copy(ctx) != nil {
 			continue
@@ -103,8 +103,8 @@
 	if err != nil {
 		return err.Error()
 	}
-	if len(statement.Doubles) > 0 {
-		return fmt.Sprintf("billed twice: %v", statement.Doubles)
+	if len(statement.DuplicateBills) > 0 {
+		return fmt.Sprintf("billed twice: %v", statement.DuplicateBills)
 	}
 	if len(statement.Bills) != billed {
 		return fmt.Sprintf("%d requests were billed, %d bills are stored (instance crashed: %v)", billed, len(statement.Bills), crashes)
--- a/pkg/bill/statement.go
+++ b/pkg/bill/statement.go
@@ -19,7 +19,7 @@
 	Open map[string]*billpb.Record
 	// DuplicateBills lists the requests with more than one bill; it is empty
 	// unless the exactly-once guarantee was violated.
-	Doubles []string
+	DuplicateBills []string
 }
 
 // ReadStatement decodes segments into a Statement.
@@ -37,7 +37,7 @@
 	for request := range s.Bills {
 		delete(s.Open, request)
 	}
-	sort.Strings(s.Doubles)
+	sort.Strings(s.DuplicateBills)
 	return s, nil
 }
 
@@ -47,7 +47,7 @@
 		return
 	}
 	if s.Bills[record.Request] != nil {
-		s.Doubles = append(s.Doubles, record.Request)
+		s.DuplicateBills = append(s.DuplicateBills, record.Request)
 	}
 	s.Bills[record.Request] = record
 }
--- a/pkg/budget/fleetfake/calls.go
+++ b/pkg/budget/fleetfake/calls.go
@@ -87,7 +87,7 @@
 func (f *Fleet) messageLost(probability float64) bool { return f.rng.Float64() < probability }
 
 func (f *Fleet) findInstance(incarnation string) *Instance {
-	for _, inst := range f.Nodes {
+	for _, inst := range f.Instances {
 		if inst.Incarnation == incarnation {
 			return inst
 		}
@@ -126,8 +126,8 @@
 	f := v.instance.fleet
 	holders := map[int]*Instance{}
 	var domains []int
-	for i := range f.Nodes {
-		inst := f.Nodes[(shard*7+i)%len(f.Nodes)]
+	for i := range f.Instances {
+		inst := f.Instances[(shard*7+i)%len(f.Instances)]
 		if holders[inst.Domain] == nil && (inst == v.instance || !v.Silent(inst.Incarnation)) {
 			holders[inst.Domain] = inst
 			domains = append(domains, inst.Domain)
@@ -149,8 +149,8 @@
 // that does not count as silent.
 func (v fleetView) Witness(except string) string {
 	f := v.instance.fleet
-	for i := 1; i < len(f.Nodes); i++ {
-		inst := f.Nodes[(v.instance.Index+i)%len(f.Nodes)]
+	for i := 1; i < len(f.Instances); i++ {
+		inst := f.Instances[(v.instance.Index+i)%len(f.Instances)]
 		if inst.Domain != v.instance.Domain && inst.Incarnation != except && !v.Silent(inst.Incarnation) {
 			return inst.Incarnation
 		}
--- a/pkg/budget/fleetfake/fake.go
+++ b/pkg/budget/fleetfake/fake.go
@@ -40,7 +40,7 @@
 // Fleet is a set of instances with their fakes.
 type Fleet struct {
 	// Instances holds the present incarnation of each instance, by index.
-	Nodes []*Instance
+	Instances []*Instance
 	// Faults may be changed at any time.
 	Faults Faults
 	// Prepaid holds the prepaid amounts, by budget, of the document in force;
@@ -96,7 +96,7 @@
 		linksDown:  map[[2]int]bool{},
 	}
 	for index := 0; index < instances; index++ {
-		f.Nodes = append(f.Nodes, f.newInstance(index, index%domains))
+		f.Instances = append(f.Instances, f.newInstance(index, index%domains))
 	}
 	return f
 }
@@ -146,7 +146,7 @@
 
 // Tick calls the node's Tick at every running instance.
 func (f *Fleet) Tick() {
-	for _, inst := range f.Nodes {
+	for _, inst := range f.Instances {
 		if inst.Up() {
 			inst.Node.Tick(context.Background())
 		}
@@ -157,34 +157,34 @@
 func (f *Fleet) Reserve(index int, budgetID string, tokens int64, into *budget.Reservation) error {
 	f.requestWaiting = true
 	defer func() { f.requestWaiting = false }()
-	return f.Nodes[index].Node.Reserve(context.Background(), budgetID, tokens, into)
+	return f.Instances[index].Node.Reserve(context.Background(), budgetID, tokens, into)
 }
 
 // Crash ends an instance's incarnation and starts a new one.
 func (f *Fleet) Crash(index int) {
-	old := f.Nodes[index]
+	old := f.Instances[index]
 	old.Dead = true
-	f.Nodes[index] = f.newInstance(index, old.Domain)
+	f.Instances[index] = f.newInstance(index, old.Domain)
 }
 
 // Pause pauses an instance; Resume lets it continue with its state.
 func (f *Fleet) Pause(index int) {
-	f.Nodes[index].Paused = true
-	f.Nodes[index].pausedSince = f.now
+	f.Instances[index].Paused = true
+	f.Instances[index].pausedSince = f.now
 }
 
 // Resume ends an instance's pause.
-func (f *Fleet) Resume(index int) { f.Nodes[index].Paused = false }
+func (f *Fleet) Resume(index int) { f.Instances[index].Paused = false }
 
 // SetLinkDown breaks or restores the link from one instance to another, in this
 // direction only.
-func (f *Fleet) Cut(from, to int, down bool) {
+func (f *Fleet) SetLinkDown(from, to int, down bool) {
 	f.linksDown[[2]int{from, to}] = down
 	since := time.Time{}
 	if down {
 		since = f.now
 	}
-	f.Nodes[from].linkDownSince[to] = since
+	f.Instances[from].linkDownSince[to] = since
 }
 
 // Shard returns the committed state of a shard.
@@ -224,7 +224,7 @@
 // setBlocked blocks every instance that takes part in a call in progress, or
 // unblocks all instances.
 func (f *Fleet) setBlocked(blocked bool) {
-	for _, inst := range f.Nodes {
+	for _, inst := range f.Instances {
 		inst.blocked = blocked && inst.activeCalls > 0
 	}
 }
--- a/pkg/budget/holder.go
+++ b/pkg/budget/holder.go
@@ -159,7 +159,7 @@
 }
 
 func (h *Holder) signingState(g *grant, need int64) *budgetpb.GrantState {
-	target := max(need, int64(g.demandRate*h.cfg.SignAhead.Seconds()), h.cfg.MinimumSigned)
+	target := max(need, int64(g.demandRate*h.cfg.SignAhead.Seconds()), h.cfg.MinSignedTokens)
 	upTo := min(g.allocated+target, g.drawn+g.returned)
 	if upTo <= g.signed && len(g.unsentUsages) == 0 {
 		return nil
--- a/pkg/budget/interfaces.go
+++ b/pkg/budget/interfaces.go
@@ -77,7 +77,7 @@
 	Shards int
 	// AllocateAhead is the period of demand for which a spender keeps tokens
 	// allocated.
-	Ahead time.Duration
+	AllocateAhead time.Duration
 	// SignAhead is the period of demand for which a holder keeps tokens
 	// countersigned. A crash leaves no more than that in doubt.
 	SignAhead time.Duration
@@ -91,7 +91,7 @@
 	// shard that only record used tokens.
 	RecordInterval time.Duration
 	// MinSignedTokens is the minimum number of tokens countersigned ahead.
-	MinimumSigned int64
+	MinSignedTokens int64
 	// Unwitnessed lets holders allocate without a countersignature; the
 	// experiment uses it as a baseline.
 	Unwitnessed bool
@@ -111,8 +111,8 @@
 
 // WithDefaults returns the configuration with defaults for zero fields.
 func (c Config) WithDefaults() Config {
-	if c.Ahead == 0 {
-		c.Ahead = DefaultAllocateAhead
+	if c.AllocateAhead == 0 {
+		c.AllocateAhead = DefaultAllocateAhead
 	}
 	if c.SignAhead == 0 {
 		c.SignAhead = DefaultSignAhead
--- a/pkg/budget/node.go
+++ b/pkg/budget/node.go
@@ -129,7 +129,7 @@
 func (n *Node) searchHolders(ctx context.Context, budget string, tokens int64, into *Reservation) *ShortError {
 	short := &ShortError{Budget: budget, Need: tokens, Exhausted: true, Step: "allocate"}
 	for _, to := range n.fleet.Holders(ledger.ShardOf(budget, n.cfg.Shards)) {
-		missing := n.spender.shortfallFor(budget, tokens, n.cfg.Ahead)
+		missing := n.spender.shortfallFor(budget, tokens, n.cfg.AllocateAhead)
 		reply, err := n.allocateFrom(ctx, to, &budgetpb.AllocateRequest{
 			Spender: n.cfg.Self,
 			Budget:  budget,
--- a/pkg/budget/plan.go
+++ b/pkg/budget/plan.go
@@ -48,7 +48,7 @@
 
 func (h *Holder) planSignature(g *grant, plan *tickPlan) {
 	minAllocatable := int64(g.demandRate * h.cfg.SignAhead.Seconds() / 2)
-	if g.allocatable() > max(minAllocatable, h.cfg.MinimumSigned/2) && len(g.unsentUsages) == 0 {
+	if g.allocatable() > max(minAllocatable, h.cfg.MinSignedTokens/2) && len(g.unsentUsages) == 0 {
 		return
 	}
 	if state := h.signingState(g, 0); state != nil {
--- a/pkg/budget/safety_test.go
+++ b/pkg/budget/safety_test.go
@@ -56,7 +56,7 @@
 		prepaid[budgetID(i)] = historyPrepaid
 		maxPrepaid[budgetID(i)] = historyPrepaid
 	}
-	cfg := budget.Config{Shards: historyShards, RecordInterval: 2 * time.Second, MinimumSigned: 100}
+	cfg := budget.Config{Shards: historyShards, RecordInterval: 2 * time.Second, MinSignedTokens: 100}
 	h := &history{
 		rng:        rng,
 		fleet:      fleetfake.New(historyInstances, historyDomains, cfg, prepaid, rng),
@@ -116,7 +116,7 @@
 }
 
 func (h *history) reserve() {
-	instance := h.fleet.Nodes[h.rng.IntN(historyInstances)]
+	instance := h.fleet.Instances[h.rng.IntN(historyInstances)]
 	if !instance.Up() {
 		return
 	}
@@ -170,7 +170,7 @@
 
 func (h *history) togglePause() {
 	index := h.rng.IntN(historyInstances)
-	if h.fleet.Nodes[index].Paused {
+	if h.fleet.Instances[index].Paused {
 		h.fleet.Resume(index)
 		return
 	}
@@ -180,7 +180,7 @@
 func (h *history) toggleLink() {
 	from, to := h.rng.IntN(historyInstances), h.rng.IntN(historyInstances)
 	if from != to {
-		h.fleet.Cut(from, to, h.rng.IntN(2) == 0)
+		h.fleet.SetLinkDown(from, to, h.rng.IntN(2) == 0)
 	}
 }
 
@@ -221,7 +221,7 @@
 			tokens += request.reservation.Tokens()
 		}
 	}
-	for _, instance := range h.fleet.Nodes {
+	for _, instance := range h.fleet.Instances {
 		tokens += instance.Node.Spender().Free(name)
 	}
 	return tokens
@@ -241,10 +241,10 @@
 // more.
 func (h *history) endFaults() {
 	h.fleet.Faults = fleetfake.Faults{}
-	for index := range h.fleet.Nodes {
+	for index := range h.fleet.Instances {
 		h.fleet.Resume(index)
-		for other := range h.fleet.Nodes {
-			h.fleet.Cut(index, other, false)
+		for other := range h.fleet.Instances {
+			h.fleet.SetLinkDown(index, other, false)
 		}
 	}
 	for len(h.openRequests) > 0 {
--- a/pkg/budget/takeover_test.go
+++ b/pkg/budget/takeover_test.go
@@ -39,7 +39,7 @@
 		now:         time.Unix(1_700_000_000, 0),
 	}
 	for _, name := range names {
-		f.nodes[name] = NewNode(Config{Self: name, Shards: 1, MinimumSigned: 100}, Deps{
+		f.nodes[name] = NewNode(Config{Self: name, Shards: 1, MinSignedTokens: 100}, Deps{
 			Ledger:   f,
 			Peers:    f,
 			Fleet:    fleetView{f, name},
--- a/pkg/budget/tick.go
+++ b/pkg/budget/tick.go
@@ -35,7 +35,7 @@
 }
 
 func (n *Node) sendReports(ctx context.Context, interval time.Duration) {
-	reports := n.spender.tick(n.cfg.Ahead, interval)
+	reports := n.spender.tick(n.cfg.AllocateAhead, interval)
 	for _, target := range sortedTargets(reports) {
 		n.sendReport(ctx, target, reports[target])
 	}
--- a/pkg/capacity/micro.go
+++ b/pkg/capacity/micro.go
@@ -135,7 +135,7 @@
 		doc.Upstreams = append(doc.Upstreams, document.Upstream{Name: fmt.Sprint(n), Domain: "a"})
 	}
 	p.Update(doc)
-	want := dispatch.Want{StartBy: time.Now().Add(time.Hour)}
+	want := dispatch.Request{StartBy: time.Now().Add(time.Hour)}
 	for b.Loop() {
 		lease, err := p.Acquire(context.Background(), want)
 		if err == nil {
@@ -278,7 +278,7 @@
 func accountMemory(accounts int) float64 {
 	accepted := acceptedOf(accounts)
 	return heapOf(func() any {
-		s := configsync.NewState(func(*configsync.InForce) {})
+		s := configsync.NewState(func(*configsync.ActiveDocument) {})
 		_, _ = s.Apply(accepted)
 		return s
 	})
@@ -288,7 +288,7 @@
 	accepted := acceptedOf(accounts)
 	return perOp(func(b *testing.B) {
 		for b.Loop() {
-			s := configsync.NewState(func(*configsync.InForce) {})
+			s := configsync.NewState(func(*configsync.ActiveDocument) {})
 			_, _ = s.Apply(accepted)
 		}
 	})
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -96,9 +96,9 @@
 	for sent < numRequests {
 		store.SetFaults(rng.IntN(6) == 0, 0.4*rng.Float64())
 		if restores && rng.IntN(8) == 0 {
-			store.GoBack(1 + rng.IntN(6))
+			store.RollBack(1 + rng.IntN(6))
 			for _, c := range claimers {
-				c.NoteEra()
+				c.NoteStoreRestored()
 			}
 		}
 		if failure := send(); failure != "" {
--- a/pkg/claim/claimer.go
+++ b/pkg/claim/claimer.go
@@ -47,7 +47,7 @@
 	self   string
 	store  store.Lister
 	fleet  Fleet
-	queues []*ring.Ring[operation]
+	queues []*ring.Queue[operation]
 	// recentClaims holds the recent claims of each shard. An element is used only
 	// by the goroutine that runs its shard.
 	recentClaims []map[string]*Claim
@@ -75,7 +75,7 @@
 	running.Wait()
 }
 
-func (c *Claimer) runShard(ctx context.Context, shard int, queue *ring.Ring[operation]) {
+func (c *Claimer) runShard(ctx context.Context, shard int, queue *ring.Queue[operation]) {
 	for {
 		select {
 		case first := <-queue.Items():
@@ -88,7 +88,7 @@
 
 // collectWaiting returns first and all operations that are waiting in the queue,
 // so that one write commits them.
-func collectWaiting(first operation, queue *ring.Ring[operation]) []operation {
+func collectWaiting(first operation, queue *ring.Queue[operation]) []operation {
 	group := []operation{first}
 	for len(group) < maxQueuedOperations {
 		select {
--- a/pkg/claim/recovery.go
+++ b/pkg/claim/recovery.go
@@ -82,7 +82,7 @@
 
 // NoteStoreRestored is called when the store was restored from an older copy: this instance writes its
 // recent claims to every shard.
-func (c *Claimer) NoteEra() {
+func (c *Claimer) NoteStoreRestored() {
 	for _, queue := range c.queues {
 		go func() {
 			time.Sleep(rand.N(maxReportDelay))
--- a/pkg/coldlimit/limit.go
+++ b/pkg/coldlimit/limit.go
@@ -46,7 +46,7 @@
 }
 
 // MaxRequests returns how many requests may arrive in any second; 0 for no bound.
-func (b Bound) Most() int {
+func (b Bound) MaxRequests() int {
 	if b.PerSecond <= 0 {
 		return 0
 	}
@@ -96,7 +96,7 @@
 
 // Allows reports whether this instance may send one more request to a cold upstream now.
 func (l *Limit) Allows(upstream string, bound Bound) bool {
-	limit := bound.Most()
+	limit := bound.MaxRequests()
 	if limit == 0 {
 		return true
 	}
--- a/pkg/coldlimit/limit_test.go
+++ b/pkg/coldlimit/limit_test.go
@@ -105,8 +105,8 @@
 			}
 			worst = max(worst, h.worstSecond())
 		}
-		if worst > engineBound.Most() {
-			t.Errorf("%d instances: %d requests in a second, %d allowed", size, worst, engineBound.Most())
+		if worst > engineBound.MaxRequests() {
+			t.Errorf("%d instances: %d requests in a second, %d allowed", size, worst, engineBound.MaxRequests())
 		}
 		t.Logf("%d instances: %d requests in the worst second", size, worst)
 	}
@@ -132,7 +132,7 @@
 	h.partition(func(n int) int { return n }) // no instance sees any other
 	before := len(h.sent)
 	h.run(time.Second, 4000)
-	if got := len(h.sent) - before; got > engineBound.Most()/maxSides+1 {
+	if got := len(h.sent) - before; got > engineBound.MaxRequests()/maxSides+1 {
 		t.Errorf("%d requests in the second after the partition", got)
 	}
 }
--- a/pkg/configsync/lost_test.go
+++ b/pkg/configsync/lost_test.go
@@ -67,7 +67,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &unresponsiveStore{Store: storefake.New(1)}
 		s.set(false, store.At(1))
-		state := NewState(func(*InForce) {})
+		state := NewState(func(*ActiveDocument) {})
 		syncer := NewSyncer(s, state, eventlog.Discard("test"), func() bool { return true }, func() {})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
--- a/pkg/configsync/state.go
+++ b/pkg/configsync/state.go
@@ -48,7 +48,7 @@
 }
 
 // ActiveDocument is the document of one service that is in force on this instance.
-type InForce struct {
+type ActiveDocument struct {
 	Accepted
 	Document *document.Document
 }
@@ -56,7 +56,7 @@
 // Snapshot holds all documents in force at one moment. It is immutable.
 type Snapshot struct {
 	// Services holds the documents by service.
-	Services map[string]*InForce
+	Services map[string]*ActiveDocument
 	// accountsByKey is indexed by the hash of the account's API key.
 	accountsByKey map[string]AccountRef
 	// sharedKeys holds the hashes that more than one account declares.
@@ -65,7 +65,7 @@
 
 // AccountRef is a client account and the document that declares it.
 type AccountRef struct {
-	Service *InForce
+	Service *ActiveDocument
 	Account *document.Account
 }
 
@@ -84,7 +84,7 @@
 type State struct {
 	mu       sync.Mutex
 	snapshot atomic.Pointer[Snapshot]
-	onApply  func(*InForce)
+	onApply  func(*ActiveDocument)
 
 	emptiedDomains   atomic.Pointer[EmptiedDomains]
 	onEmptiedDomains func(before, now EmptiedDomains)
@@ -92,9 +92,9 @@
 
 // NewState returns a state with nothing in force. onApply is called, with the
 // state locked, for each document that comes into force.
-func NewState(onApply func(*InForce)) *State {
+func NewState(onApply func(*ActiveDocument)) *State {
 	s := &State{onApply: onApply, onEmptiedDomains: func(EmptiedDomains, EmptiedDomains) {}}
-	s.snapshot.Store(&Snapshot{Services: map[string]*InForce{}})
+	s.snapshot.Store(&Snapshot{Services: map[string]*ActiveDocument{}})
 	s.emptiedDomains.Store(&EmptiedDomains{})
 	return s
 }
@@ -127,15 +127,15 @@
 	if err != nil {
 		return false, fmt.Errorf("apply generation %d of %s: %w", a.Generation, a.Service, err)
 	}
-	next := &InForce{Accepted: a, Document: doc}
+	next := &ActiveDocument{Accepted: a, Document: doc}
 	s.snapshot.Store(s.Snapshot().withDocument(next))
 	s.onApply(next)
 	return true, nil
 }
 
-func (s *Snapshot) withDocument(next *InForce) *Snapshot {
+func (s *Snapshot) withDocument(next *ActiveDocument) *Snapshot {
 	out := &Snapshot{
-		Services:      map[string]*InForce{next.Service: next},
+		Services:      map[string]*ActiveDocument{next.Service: next},
 		accountsByKey: map[string]AccountRef{},
 		sharedKeys:    map[string]bool{},
 	}
@@ -150,7 +150,7 @@
 	return out
 }
 
-func (s *Snapshot) addAccounts(f *InForce) {
+func (s *Snapshot) addAccounts(f *ActiveDocument) {
 	for i := range f.Document.Accounts {
 		account := &f.Document.Accounts[i]
 		if _, taken := s.accountsByKey[account.KeySHA256]; taken {
--- a/pkg/configsync/state_test.go
+++ b/pkg/configsync/state_test.go
@@ -62,7 +62,7 @@
 	seen := make([]uint64, 4)
 	reverted := ""
 	for n := range seen {
-		state := NewState(func(f *InForce) {
+		state := NewState(func(f *ActiveDocument) {
 			if f.Generation <= seen[n] {
 				reverted = fmt.Sprintf("instance %d went from generation %d to %d", n, seen[n], f.Generation)
 			}
--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -42,7 +42,7 @@
 // A leaving upstream must get no new requests while its running requests finish.
 func TestLeavingUpstreamIsNotPicked(t *testing.T) {
 	p := poolOf(3, 10)
-	req := Want{StartBy: time.Now().Add(time.Minute)}
+	req := Request{StartBy: time.Now().Add(time.Minute)}
 	running, err := p.Acquire(t.Context(), req)
 	if err != nil {
 		t.Fatal(err)
@@ -73,13 +73,13 @@
 func TestUrgentGoesBeforeDrafts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := poolOf(1, 1)
-		first, err := p.Acquire(t.Context(), Want{StartBy: time.Now().Add(time.Hour)})
+		first, err := p.Acquire(t.Context(), Request{StartBy: time.Now().Add(time.Hour)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		order := make(chan string, 2)
 		wait := func(name string, urgent bool) {
-			lease, err := p.Acquire(t.Context(), Want{Urgent: urgent, StartBy: time.Now().Add(time.Hour)})
+			lease, err := p.Acquire(t.Context(), Request{Urgent: urgent, StartBy: time.Now().Add(time.Hour)})
 			if err != nil {
 				t.Error(err)
 				return
@@ -104,19 +104,19 @@
 func TestHopelessIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := poolOf(1, 1)
-		lease, err := p.Acquire(t.Context(), Want{StartBy: time.Now().Add(time.Hour)})
+		lease, err := p.Acquire(t.Context(), Request{StartBy: time.Now().Add(time.Hour)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
 		lease.Done(Result{Load: -1}) // makes the service time ten seconds
-		_, _ = p.Acquire(t.Context(), Want{StartBy: time.Now().Add(time.Hour)})
+		_, _ = p.Acquire(t.Context(), Request{StartBy: time.Now().Add(time.Hour)})
 		for range 5 {
-			go func() { _, _ = p.Acquire(t.Context(), Want{StartBy: time.Now().Add(time.Hour)}) }()
+			go func() { _, _ = p.Acquire(t.Context(), Request{StartBy: time.Now().Add(time.Hour)}) }()
 		}
 		synctest.Wait()
 		before := time.Now()
-		_, err = p.Acquire(t.Context(), Want{Pool: "drafts", StartBy: time.Now().Add(5 * time.Second)})
+		_, err = p.Acquire(t.Context(), Request{Pool: "drafts", StartBy: time.Now().Add(5 * time.Second)})
 		var overload *OverloadError
 		if !errors.As(err, &overload) || overload.RetryAfter < 10*time.Second {
 			t.Errorf("got %v", err)
@@ -139,7 +139,7 @@
 func TestPlaceGivenTooLateGoesBack(t *testing.T) {
 	p := poolOf(1, 1)
 	for range 200 {
-		lease, err := p.Acquire(t.Context(), Want{StartBy: time.Now().Add(time.Hour)})
+		lease, err := p.Acquire(t.Context(), Request{StartBy: time.Now().Add(time.Hour)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,7 +147,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			if late, err := p.Acquire(ctx, Want{StartBy: time.Now().Add(time.Hour)}); err == nil {
+			if late, err := p.Acquire(ctx, Request{StartBy: time.Now().Add(time.Hour)}); err == nil {
 				late.Done(Result{Load: -1})
 			}
 		}()
--- a/pkg/dispatch/compare_test.go
+++ b/pkg/dispatch/compare_test.go
@@ -220,7 +220,7 @@
 func domainName(n int) string { return string(rune('a' + n%simDomains)) }
 
 func (c *poolChooser) choose(_ *simulation, instance int, prefix uint64) int {
-	_, lease, err := c.pools[instance].tryAcquire(Want{Prefix: prefix, StartBy: time.Unix(1<<40, 0)})
+	_, lease, err := c.pools[instance].tryAcquire(Request{Prefix: prefix, StartBy: time.Unix(1<<40, 0)})
 	if err != nil || lease == nil {
 		panic("Pool granted no lease though the simulation sets no limit")
 	}
@@ -233,7 +233,7 @@
 
 func (c *poolChooser) reportLoad(s *simulation, instance, engine int) {
 	key := [2]int{instance, engine}
-	c.leases[key][0].Report(float64(s.engines[engine].reportedLoad))
+	c.leases[key][0].ReportLoad(float64(s.engines[engine].reportedLoad))
 }
 
 // poll reports the load of one engine, each in turn, to all instances.
@@ -243,7 +243,7 @@
 		return
 	}
 	for _, p := range c.pools {
-		p.Report(fmt.Sprint(engine), float64(s.engines[engine].reportedLoad))
+		p.ReportLoad(fmt.Sprint(engine), float64(s.engines[engine].reportedLoad))
 	}
 }
 
--- a/pkg/dispatch/emptied_test.go
+++ b/pkg/dispatch/emptied_test.go
@@ -13,7 +13,7 @@
 func TestEmptiedDomainRefusesWhoWaitsThere(t *testing.T) {
 	p := NewPool("a", time.Now)
 	p.Update(&document.Pool{Name: "jobs", MaxConcurrent: 1, Upstreams: []document.Upstream{{Name: "u", Domain: "a"}}})
-	req := Want{Pool: "jobs", StartBy: time.Now().Add(time.Minute)}
+	req := Request{Pool: "jobs", StartBy: time.Now().Add(time.Minute)}
 	lease, err := p.Acquire(t.Context(), req)
 	if err != nil || !lease.InService() {
 		t.Fatalf("in service %t, %v", lease.InService(), err)
--- a/pkg/dispatch/picker.go
+++ b/pkg/dispatch/picker.go
@@ -321,7 +321,7 @@
 }
 
 // ReportLoad records the load that an upstream reported; a negative one is ignored.
-func (p *Pool) Report(upstream string, load float64) {
+func (p *Pool) ReportLoad(upstream string, load float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if u := p.byName[upstream]; u != nil {
@@ -337,7 +337,7 @@
 
 // ReportLoad records the load that the upstream reported in the header of its answer; a
 // negative one is ignored.
-func (l *Lease) Report(load float64) {
+func (l *Lease) ReportLoad(load float64) {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	l.pool.recordLoad(l.state, load)
--- a/pkg/dispatch/queue.go
+++ b/pkg/dispatch/queue.go
@@ -49,7 +49,7 @@
 }
 
 // Request describes a request to be dispatched.
-type Want struct {
+type Request struct {
 	// Pool is the name of the pool for error messages.
 	Pool string
 	// Prefix is the hash of the prompt's prefix; 0 for none.
@@ -65,7 +65,7 @@
 // Acquire returns a lease on an upstream, and waits for one if necessary. A request
 // that is not expected to start in time is refused immediately. The error is an
 // *OverloadError or that of the context.
-func (p *Pool) Acquire(ctx context.Context, req Want) (*Lease, error) {
+func (p *Pool) Acquire(ctx context.Context, req Request) (*Lease, error) {
 	w, lease, err := p.tryAcquire(req)
 	if err != nil || lease != nil {
 		return lease, err
@@ -85,7 +85,7 @@
 	}
 }
 
-func (p *Pool) tryAcquire(req Want) (*waiter, *Lease, error) {
+func (p *Pool) tryAcquire(req Request) (*waiter, *Lease, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if u := p.pick(req.Prefix, req.Tried); u != nil {
@@ -120,7 +120,7 @@
 // cannotStartInTime reports whether the request is not expected to start in time:
 // too many requests are queued, it was tried at as many upstreams as are available,
 // or the queue drains too slowly.
-func (p *Pool) cannotStartInTime(req Want) bool {
+func (p *Pool) cannotStartInTime(req Request) bool {
 	if p.numAhead(req.Urgent) >= maxWaiting || len(p.available) <= len(req.Tried) {
 		return true
 	}
@@ -142,13 +142,13 @@
 	return time.Duration(float64(p.serviceTime) * float64(p.numAhead(urgent)) / float64(capacity))
 }
 
-func (p *Pool) overloadError(req Want) error {
+func (p *Pool) overloadError(req Request) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.overloadErrorLocked(req)
 }
 
-func (p *Pool) overloadErrorLocked(req Want) error {
+func (p *Pool) overloadErrorLocked(req Request) error {
 	return &OverloadError{
 		Step:       "queue",
 		Peer:       req.Pool,
@@ -159,7 +159,7 @@
 
 // cancelWait removes a waiter from its queue and returns cause. If the waiter was granted
 // a lease in the meantime, cancelWait releases it.
-func (p *Pool) cancelWait(req Want, w *waiter, cause error) error {
+func (p *Pool) cancelWait(req Request, w *waiter, cause error) error {
 	p.mu.Lock()
 	removed := p.waitListFor(req.Urgent).remove(w)
 	p.mu.Unlock()
--- a/pkg/document/document.go
+++ b/pkg/document/document.go
@@ -89,13 +89,13 @@
 	// one upstream of the pool. Default 16.
 	MaxConcurrent int `toml:"max_concurrent,omitempty"`
 	// NonIdempotent lists the requests that must not be retried.
-	Once []Once `toml:"once,omitempty"`
+	NonIdempotent []RequestPattern `toml:"once,omitempty"`
 	// Upstreams lists the pool's upstreams.
 	Upstreams []Upstream `toml:"upstreams"`
 }
 
 // RequestPattern matches requests by method and path.
-type Once struct {
+type RequestPattern struct {
 	// Method is the HTTP method, in capitals.
 	Method string `toml:"method"`
 	// Path is a path prefix below the pool's own path, such as "/jobs".
@@ -120,7 +120,7 @@
 }
 
 // StreamIdleTimeout returns the time limit between two parts of an answer.
-func (l Limits) StreamIdle() time.Duration {
+func (l Limits) StreamIdleTimeout() time.Duration {
 	return time.Duration(l.StreamIdleMillis) * time.Millisecond
 }
 
@@ -128,7 +128,7 @@
 // given size in bytes. A byte-level tokenizer yields at most one token per
 // byte, and the JSON around the text is larger than the text that any chat
 // template adds.
-func (l Limits) PromptBound(bodyBytes int) int64 {
+func (l Limits) MaxPromptTokens(bodyBytes int) int64 {
 	return int64((bodyBytes + l.MinBytesPerToken - 1) / l.MinBytesPerToken)
 }
 
--- a/pkg/document/validate.go
+++ b/pkg/document/validate.go
@@ -189,7 +189,7 @@
 	default:
 		v.require(false, prefix+"kind", pool.Kind, `"model" or "plain"`)
 	}
-	for i, pattern := range pool.Once {
+	for i, pattern := range pool.NonIdempotent {
 		key := fmt.Sprintf("%sonce[%d].", prefix, i)
 		v.require(pattern.Method == strings.ToUpper(pattern.Method) && pattern.Method != "",
 			key+"method", pattern.Method, "a method in capitals")
--- a/pkg/door/door.go
+++ b/pkg/door/door.go
@@ -65,11 +65,11 @@
 func Listen(opts Options) (*Server, error) {
 	s := &Server{opts: opts, conns: map[net.Conn]bool{}}
 	server, err := httpserve.Listen(httpserve.Options{
-		Address:      opts.Address,
-		MaxBodyBytes: maxBodyBytes,
-		ReadTimeout:  opts.ReadTimeout,
-		SenseLeaving: true,
-		WrapConn:     s.trackConn,
+		Address:            opts.Address,
+		MaxBodyBytes:       maxBodyBytes,
+		ReadTimeout:        opts.ReadTimeout,
+		CancelOnDisconnect: true,
+		WrapConn:           s.trackConn,
 	})
 	if err != nil {
 		return nil, err
--- a/pkg/emulator/engine_test.go
+++ b/pkg/emulator/engine_test.go
@@ -19,10 +19,10 @@
 		prompt int64
 		late   bool
 	}{{10_000, false}, {50_000, true}} {
-		s, e := &World{}, &Engine{EngineConfig: testConfig}
+		s, e := &Simulator{}, &Engine{EngineConfig: testConfig}
 		short := &Request{PromptTokens: 800, NumEvents: 60}
-		s.At(0, func() { s.Send(e, short) })
-		s.At(100*time.Millisecond, func() { s.Send(e, &Request{PromptTokens: c.prompt, NumEvents: 10}) })
+		s.Schedule(0, func() { s.Send(e, short) })
+		s.Schedule(100*time.Millisecond, func() { s.Send(e, &Request{PromptTokens: c.prompt, NumEvents: 10}) })
 		s.Run()
 		if late := short.LongestPause > 300*time.Millisecond; late != c.late {
 			t.Errorf("with a prompt of %d tokens, the longest pause of the other stream is %s", c.prompt, short.LongestPause)
@@ -33,10 +33,10 @@
 // Two requests of one conversation follow each other. The engine must prefill only the second
 // request's own part.
 func TestSharedPartsAreReadOnce(t *testing.T) {
-	s, e := &World{}, &Engine{EngineConfig: testConfig}
+	s, e := &Simulator{}, &Engine{EngineConfig: testConfig}
 	shared := []Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 4000}}
 	for n := range 2 {
-		s.At(time.Duration(n)*time.Second, func() { s.Send(e, &Request{SharedParts: shared, PromptTokens: 6000, NumEvents: 2}) })
+		s.Schedule(time.Duration(n)*time.Second, func() { s.Send(e, &Request{SharedParts: shared, PromptTokens: 6000, NumEvents: 2}) })
 	}
 	s.Run()
 	if e.PrefilledTokens != 6000+1500 {
--- a/pkg/emulator/simulator.go
+++ b/pkg/emulator/simulator.go
@@ -7,7 +7,7 @@
 
 // Simulator runs engines and scheduled functions in virtual time. The zero value is ready
 // to use.
-type World struct {
+type Simulator struct {
 	now          time.Duration
 	events       eventHeap
 	lastSequence int
@@ -39,16 +39,16 @@
 }
 
 // Now returns the virtual time since the start.
-func (s *World) Now() time.Duration { return s.now }
+func (s *Simulator) Now() time.Duration { return s.now }
 
 // Schedule schedules a function at a virtual time, or now if that time has passed.
-func (s *World) At(at time.Duration, run func()) {
+func (s *Simulator) Schedule(at time.Duration, run func()) {
 	s.lastSequence++
 	heap.Push(&s.events, event{at: max(at, s.now), sequence: s.lastSequence, run: run})
 }
 
 // Run runs events in order of time until none is left.
-func (s *World) Run() {
+func (s *Simulator) Run() {
 	for len(s.events) > 0 {
 		next := heap.Pop(&s.events).(event)
 		s.now = next.at
@@ -57,7 +57,7 @@
 }
 
 // Send sends a request to an engine.
-func (s *World) Send(e *Engine, r *Request) {
+func (s *Simulator) Send(e *Engine, r *Request) {
 	r.SentAt = s.now
 	idle := !e.hasWork()
 	e.waiting = append(e.waiting, r)
@@ -67,12 +67,12 @@
 }
 
 // runSteps runs an engine's steps while it has requests.
-func (s *World) runSteps(e *Engine) {
+func (s *Simulator) runSteps(e *Engine) {
 	if !e.hasWork() {
 		return
 	}
 	duration, prefilling, chunk := e.planStep()
-	s.At(s.now+duration, func() {
+	s.Schedule(s.now+duration, func() {
 		e.finishStep(s.now, prefilling, chunk)
 		s.runSteps(e)
 	})
--- a/pkg/entry/chat.go
+++ b/pkg/entry/chat.go
@@ -91,7 +91,7 @@
 		return notRunProblem(consts.StatusBadRequest, kindBadRequest, err.Error(), 0)
 	}
 	c.body = encoded
-	c.maxCost = c.r.doc.Limits.PromptBound(len(encoded)) + engineReq.MaxTokens
+	c.maxCost = c.r.doc.Limits.MaxPromptTokens(len(encoded)) + engineReq.MaxTokens
 	c.prefixHash = xxhash.Sum64(promptPrefix(c.req.Messages))
 	return nil
 }
@@ -163,7 +163,7 @@
 		c.billing.settle(0)
 		return false, p
 	}
-	lease, err := c.dispatch.Acquire(ctx, dispatch.Want{
+	lease, err := c.dispatch.Acquire(ctx, dispatch.Request{
 		Pool:    c.pool.Name,
 		Prefix:  c.prefixHash,
 		Urgent:  c.pool.Urgent,
@@ -171,7 +171,7 @@
 		StartBy: c.r.deadline,
 	})
 	if err != nil {
-		quarantineRun.Ended()
+		quarantineRun.NoteEnd()
 		c.billing.settle(0)
 		return false, acquireProblem(c.r, err)
 	}
--- a/pkg/entry/crash.go
+++ b/pkg/entry/crash.go
@@ -109,7 +109,7 @@
 		Origin:   quarantine.Origin{Account: r.budget, Route: string(r.c.Path())},
 		Upstream: run.upstream,
 		Evidence: evidence,
-	}, func() bool { return e.Lookout.Look(run.upstream.Address) == httpconn.Crashed }, e.Now)
+	}, func() bool { return e.PeerProber.Probe(run.upstream.Address) == httpconn.Crashed }, e.Now)
 	if conclusion.Cleared {
 		e.Log.Event(eventlog.RequestCleared, r.id, eventlog.Fields{"fingerprint": r.Fingerprint().String()})
 	}
@@ -132,7 +132,7 @@
 func (e *Entry) recordCrash(r *request, upstream string, record *quarantine.Record) {
 	e.metrics.crashes.Inc(1)
 	e.Log.Event(eventlog.RequestSuspected, r.id, eventlog.Fields{
-		"fingerprint": record.Fingerprint.String(), "crashes": record.InARow(), "upstream": upstream,
+		"fingerprint": record.Fingerprint.String(), "crashes": record.ConsecutiveCrashes(), "upstream": upstream,
 		"condemned": e.Quarantine.StateOf(record.Fingerprint) == quarantine.Condemned,
 	})
 }
--- a/pkg/entry/delivery.go
+++ b/pkg/entry/delivery.go
@@ -57,13 +57,13 @@
 		Resume:      d.numResumes > 0,
 		Offset:      d.call.offset,
 		Urgent:      d.call.pool.Urgent,
-		IdleTimeout: d.call.r.doc.Limits.StreamIdle(),
+		IdleTimeout: d.call.r.doc.Limits.StreamIdleTimeout(),
 	}, &d.call.r.tracker)
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	d.lease.Report(stream.Load)
+	d.lease.ReportLoad(stream.Load)
 	d.call.e.recordIncarnation(d.lease.Upstream.Address, stream.Incarnation, sentAt)
 	for {
 		event, err := stream.Next()
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -61,7 +61,7 @@
 // PeerProber determines the state of the upstream at an address after a
 // connection to it ended.
 type PeerProber interface {
-	Look(address string) httpconn.PeerState
+	Probe(address string) httpconn.PeerState
 }
 
 // Deps holds the collaborators of an Entry.
@@ -76,7 +76,7 @@
 	Claims  *claim.Claimer
 	Silent  SilentFunc
 	// PeerProber tells crashed upstreams from ones that only closed a connection.
-	Lookout PeerProber
+	PeerProber PeerProber
 	// Quarantine finds requests that crash upstreams.
 	Quarantine *quarantine.Table
 	Log        *eventlog.Log
@@ -134,13 +134,13 @@
 }
 
 // RegisterRoutes registers the paths that clients call.
-func (e *Entry) Routes(r route.IRoutes) {
+func (e *Entry) RegisterRoutes(r route.IRoutes) {
 	r.POST("/v1/chat/completions", e.handle(e.serveChat))
 	r.Any("/services/:pool/*path", e.handle(e.servePlain))
 }
 
 // ApplyConfig updates the dispatch pools to those of a service document.
-func (e *Entry) ApplyConfig(f *configsync.InForce) {
+func (e *Entry) ApplyConfig(f *configsync.ActiveDocument) {
 	for i := range f.Document.Pools {
 		pool := &f.Document.Pools[i]
 		e.pool(f.Service, pool.Name).Update(pool)
@@ -192,7 +192,7 @@
 }
 
 // NumActive returns the number of requests in progress.
-func (e *Entry) Active() int64 { return e.numActive.Load() }
+func (e *Entry) NumActive() int64 { return e.numActive.Load() }
 
 // trackRequest counts a request as in progress; it returns false if the instance
 // is draining. drainMu ensures that no request is added after Drain has begun to
--- a/pkg/entry/incarnation.go
+++ b/pkg/entry/incarnation.go
@@ -101,7 +101,7 @@
 		return
 	}
 	e.incarnations.set(address, incarnation)
-	e.Quarantine.Answered(address, incarnation, since)
+	e.Quarantine.NoteAnswer(address, incarnation, since)
 }
 
 // incarnationAt returns the incarnation at an address; empty if it is not known, or the last known one
@@ -118,7 +118,7 @@
 // PollIncarnations queries upstreams for their incarnation until ctx ends: those whose incarnation is
 // not known, and those of which it is undecided whether they crashed when a connection ended before a
 // whole answer.
-func (e *Entry) WatchIncarnations(ctx context.Context) {
+func (e *Entry) PollIncarnations(ctx context.Context) {
 	for pause.For(ctx, incarnationInterval) {
 		var round sync.WaitGroup
 		for _, address := range e.addressesToQuery() {
@@ -133,7 +133,7 @@
 	var toQuery []string
 	for _, address := range e.upstreamAddresses() {
 		queryDue := e.incarnationAt(address) == "" && e.incarnations.startQuery(address, e.Now())
-		if len(toQuery) < maxIncarnationQueries && (queryDue || e.Quarantine.Undecided(address)) {
+		if len(toQuery) < maxIncarnationQueries && (queryDue || e.Quarantine.HasUndecided(address)) {
 			toQuery = append(toQuery, address)
 		}
 	}
--- a/pkg/entry/load.go
+++ b/pkg/entry/load.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if load, err := upstream.FetchLoad(ctx, target.upstream.Address); err == nil {
-		target.pool.Report(target.upstream.Name, load)
+		target.pool.ReportLoad(target.upstream.Name, load)
 	}
 }
 
--- a/pkg/entry/plain.go
+++ b/pkg/entry/plain.go
@@ -33,7 +33,7 @@
 // isNonIdempotent reports whether the service document lists a request as one
 // that may not be repeated.
 func isNonIdempotent(pool *document.Pool, method, path string) bool {
-	for _, pattern := range pool.Once {
+	for _, pattern := range pool.NonIdempotent {
 		if pattern.Method == method && hasPathPrefix(path, pattern.Path) {
 			return true
 		}
@@ -132,14 +132,14 @@
 	if problem != nil {
 		return false, problem
 	}
-	lease, err := p.dispatch.Acquire(ctx, dispatch.Want{
+	lease, err := p.dispatch.Acquire(ctx, dispatch.Request{
 		Pool:    p.pool.Name,
 		Urgent:  p.pool.Urgent,
 		Tried:   p.triedUpstreams,
 		StartBy: p.r.deadline,
 	})
 	if err != nil {
-		quarantineRun.Ended()
+		quarantineRun.NoteEnd()
 		return false, acquireProblem(p.r, err)
 	}
 	p.triedUpstreams = append(p.triedUpstreams, lease.Upstream.Name)
--- a/pkg/eventlog/bounded.go
+++ b/pkg/eventlog/bounded.go
@@ -26,7 +26,7 @@
 // reports the count.
 type BoundedWriter struct {
 	out     io.Writer
-	lines   *ring.Ring[[]byte]
+	lines   *ring.Queue[[]byte]
 	dropped atomic.Int64
 	now     func() time.Time
 	done    sync.WaitGroup
@@ -37,7 +37,7 @@
 }
 
 // NewBoundedWriter returns a BoundedWriter that writes to out until Close.
-func NewBounded(out io.Writer, now func() time.Time) *BoundedWriter {
+func NewBoundedWriter(out io.Writer, now func() time.Time) *BoundedWriter {
 	b := &BoundedWriter{out: out, lines: ring.New[[]byte](maxPendingLines), now: now}
 	b.done.Add(1)
 	go b.run()
--- a/pkg/eventlog/bounded_test.go
+++ b/pkg/eventlog/bounded_test.go
@@ -21,7 +21,7 @@
 func TestLogNeverBlocks(t *testing.T) {
 	release := make(chan struct{})
 	now := time.Unix(0, 0)
-	b := NewBounded(blockedWriter{release}, func() time.Time { return now })
+	b := NewBoundedWriter(blockedWriter{release}, func() time.Time { return now })
 	log := New("p", b)
 	for n := range 10 * maxPendingLines {
 		if n%MaxLinesPerSecond == 0 {
@@ -41,7 +41,7 @@
 func TestDroppedLinesAreTold(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(0, 0)
-	b := NewBounded(&out, func() time.Time { return now })
+	b := NewBoundedWriter(&out, func() time.Time { return now })
 	log := New("p", b)
 	for range MaxLinesPerSecond + 50 {
 		log.Event(InstanceReady, "", nil)
--- a/pkg/experiment/blame/request.go
+++ b/pkg/experiment/blame/request.go
@@ -72,7 +72,7 @@
 		}
 		delete(u.running, a)
 		if table := w.tables[at]; table != nil {
-			a.run.Answered()
+			a.run.NoteAnswer()
 			w.tell(at)
 		}
 	})
@@ -122,11 +122,11 @@
 		w.failed(a)
 		return
 	}
-	crash := a.run.Crashed(quarantine.Origin{Account: "crew"}, quarantine.Upstream{ID: upstream, Address: upstream, Incarnation: upstream}, w.clock())
+	crash := a.run.NoteCrash(quarantine.Origin{Account: "crew"}, quarantine.Upstream{ID: upstream, Address: upstream, Incarnation: upstream}, w.clock())
 	w.tell(a.at)
 	wait := time.Duration(0)
 	if !crash.IsFirst() {
-		wait = quarantine.JudgeAfter
+		wait = quarantine.JudgeDelay
 	}
 	w.after(wait, func() {
 		record := crash.Judge()
--- a/pkg/experiment/blame/world.go
+++ b/pkg/experiment/blame/world.go
@@ -80,7 +80,7 @@
 
 // world is one history.
 type world struct {
-	emulator.World
+	emulator.Simulator
 	rng       *rand.Rand
 	tables    []*quarantine.Table
 	upstreams []*upstream
@@ -126,7 +126,7 @@
 	return w.result
 }
 
-func (w *world) after(wait time.Duration, what func()) { w.At(w.Now()+wait, what) }
+func (w *world) after(wait time.Duration, what func()) { w.Schedule(w.Now()+wait, what) }
 
 // clock is the time as tables see it.
 func (w *world) clock() time.Time { return time.Unix(0, 0).Add(w.Now()) }
@@ -161,7 +161,7 @@
 
 // tell has the other instances learn what an instance has just learned.
 func (w *world) tell(from int) {
-	records := w.tables[from].News()
+	records := w.tables[from].TakePending()
 	if len(records) == 0 {
 		return
 	}
--- a/pkg/experiment/coldstart/coldstart.go
+++ b/pkg/experiment/coldstart/coldstart.go
@@ -76,7 +76,7 @@
 }
 
 func (e *equalShare) Allows(_ string, b coldlimit.Bound) bool {
-	span := time.Second * time.Duration(len(e.names())) / time.Duration(b.Most())
+	span := time.Second * time.Duration(len(e.names())) / time.Duration(b.MaxRequests())
 	return e.last.IsZero() || e.now().Sub(e.last) >= span
 }
 
@@ -193,7 +193,7 @@
 func Compare(out io.Writer, seeds int) error {
 	_, err := fmt.Fprintf(out, "%d histories a cell, %d allowed in any second\n\n"+
 		"| instances | policy | worst second of those that know: median, most | over the bound | with those that do not know yet: most | sent of what came |\n"+
-		"|---:|---|---:|---:|---:|---:|\n", seeds, bound.Most())
+		"|---:|---|---:|---:|---:|---:|\n", seeds, bound.MaxRequests())
 	for _, size := range Sizes {
 		for _, policy := range Policies {
 			if err == nil {
@@ -210,7 +210,7 @@
 	for seed := range uint64(seeds) {
 		r := Play(size, policy, seed)
 		worst = append(worst, r.WorstKnown)
-		if r.WorstKnown > bound.Most() {
+		if r.WorstKnown > bound.MaxRequests() {
 			over++
 		}
 		most = max(most, r.Worst)
--- a/pkg/experiment/policy.go
+++ b/pkg/experiment/policy.go
@@ -64,7 +64,7 @@
 
 func newGrants(unwitnessed bool) func(Deployment, []int64, *rand.Rand) system {
 	return func(d Deployment, prepaid []int64, rng *rand.Rand) system {
-		cfg := budget.Config{Shards: experimentShards, Unwitnessed: unwitnessed, MinimumSigned: 64}
+		cfg := budget.Config{Shards: experimentShards, Unwitnessed: unwitnessed, MinSignedTokens: 64}
 		return &grants{fleet: fleetfake.New(d.Instances, d.Domains, cfg, named(prepaid), rng)}
 	}
 }
@@ -86,7 +86,7 @@
 }
 
 func (g *grants) settle(instance int, t admission, used int64) {
-	g.fleet.Nodes[instance].Node.Settle(t.(*budget.Reservation), used)
+	g.fleet.Instances[instance].Node.Settle(t.(*budget.Reservation), used)
 }
 
 func (g *grants) tick(time.Duration) {
@@ -109,7 +109,7 @@
 	g.fleet.Resume(instance)
 }
 
-func (g *grants) cut(from, to int, cut bool) { g.fleet.Cut(from, to, cut) }
+func (g *grants) cut(from, to int, cut bool) { g.fleet.SetLinkDown(from, to, cut) }
 
 func (g *grants) store(down, slow bool, loseAnswer float64) {
 	g.fleet.Faults.StoreDown = down
--- a/pkg/follow/agemonitor.go
+++ b/pkg/follow/agemonitor.go
@@ -6,7 +6,7 @@
 type AgeReport struct {
 	Copy string
 	// Stale is false once the copy is confirmed again.
-	Old bool
+	Stale bool
 	// Age is the time since the copy was last confirmed: the current value, or the maximum reached
 	// while the copy was stale.
 	Age time.Duration
@@ -18,33 +18,33 @@
 // AgeMonitor reports copies that have gone unconfirmed for longer than Timing.LastTimeout, the
 // longest that any instance relies on confirmations by others. It must be used by one goroutine
 // only.
-type Alarm struct {
-	Tell func(AgeReport)
+type AgeMonitor struct {
+	Report func(AgeReport)
 	// maxAges holds the maximum age of each stale copy.
 	maxAges map[string]time.Duration
 }
 
 // Check examines the current age of a copy and reports a transition to or from stale.
-func (a *Alarm) Look(name string, copied *Follower) {
+func (a *AgeMonitor) Check(name string, copied *Follower) {
 	age, read := copied.Age()
 	if !read {
 		return
 	}
 	maxAge, wasStale := a.maxAges[name]
-	report := AgeReport{Copy: name, Old: age > copied.timing().LastTimeout, Age: max(age, maxAge), StoreAnswers: !copied.Breaker.Tripped()}
+	report := AgeReport{Copy: name, Stale: age > copied.timing().LastTimeout, Age: max(age, maxAge), StoreAnswers: !copied.Breaker.Tripped()}
 	switch {
-	case report.Old && !wasStale:
-		a.Tell(report)
-	case !report.Old && wasStale:
+	case report.Stale && !wasStale:
+		a.Report(report)
+	case !report.Stale && wasStale:
 		delete(a.maxAges, name)
-		a.Tell(report)
+		a.Report(report)
 	}
-	if report.Old {
+	if report.Stale {
 		a.recordAge(name, report.Age)
 	}
 }
 
-func (a *Alarm) recordAge(name string, age time.Duration) {
+func (a *AgeMonitor) recordAge(name string, age time.Duration) {
 	if a.maxAges == nil {
 		a.maxAges = map[string]time.Duration{}
 	}
--- a/pkg/follow/agemonitor_test.go
+++ b/pkg/follow/agemonitor_test.go
@@ -13,22 +13,22 @@
 func TestAlarmTellsOnceOfAnOldCopyAndOnceOfItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reports []AgeReport
-		monitor := &Alarm{Tell: func(r AgeReport) { reports = append(reports, r) }}
+		monitor := &AgeMonitor{Report: func(r AgeReport) { reports = append(reports, r) }}
 		f := &Follower{Kind: "k", Copy: &versionRecorder{}, Breaker: &CircuitBreaker{}, Timing: Timing{LastTimeout: time.Second}}
-		monitor.Look("k", f) // not read yet
+		monitor.Check("k", f) // not read yet
 		f.fresh.recordRead(store.At(1), store.At(1))
 		f.Breaker.Record(false)
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
-			monitor.Look("k", f)
+			monitor.Check("k", f)
 		}
 		f.fresh.recordRead(store.At(2), store.At(2))
 		f.Breaker.Record(true)
 		for range 5 {
-			monitor.Look("k", f)
+			monitor.Check("k", f)
 		}
 		want := []AgeReport{
-			{Copy: "k", Old: true, Age: 1100 * time.Millisecond},
+			{Copy: "k", Stale: true, Age: 1100 * time.Millisecond},
 			{Copy: "k", Age: 3 * time.Second, StoreAnswers: true},
 		}
 		if len(reports) != len(want) || reports[0] != want[0] || reports[1] != want[1] {
--- a/pkg/follow/confirm.go
+++ b/pkg/follow/confirm.go
@@ -94,7 +94,7 @@
 
 // ConfirmedRecently reports whether another instance confirmed this copy by a recent read of the
 // store. If so, the store is available even if it does not answer this instance.
-func (f *Follower) ConfirmedLately() bool { return f.fresh.confirmedWithin(f.timing().LastTimeout) }
+func (f *Follower) ConfirmedRecently() bool { return f.fresh.confirmedWithin(f.timing().LastTimeout) }
 
 // Age returns the time since the copy was last confirmed to be complete; false before it has been
 // read once.
--- a/pkg/follow/copyserver.go
+++ b/pkg/follow/copyserver.go
@@ -118,7 +118,7 @@
 }
 
 // HandleFetch answers another instance that requests the changes which its copy lacks.
-func (p *Publisher) HandOn(request *followpb.FetchRequest) (*followpb.FetchReply, error) {
+func (p *Publisher) HandleFetch(request *followpb.FetchRequest) (*followpb.FetchReply, error) {
 	f := p.followers[request.Name]
 	if f == nil {
 		return &followpb.FetchReply{}, nil
@@ -229,7 +229,7 @@
 // QueryRandomPeer requests what the copies lack from another instance, chosen at random each time,
 // without waiting for a reply. It is used when the store does not answer this instance, because the
 // publishing instances may not reach it either.
-func (p *Publisher) AskAround(ctx context.Context) {
+func (p *Publisher) QueryRandomPeer(ctx context.Context) {
 	addresses := p.peers.Addresses()
 	if len(addresses) == 0 {
 		return
--- a/pkg/follow/copyserver_test.go
+++ b/pkg/follow/copyserver_test.go
@@ -20,7 +20,7 @@
 }
 
 func (p *servingPeers) Fetch(_ context.Context, _ string, request *followpb.FetchRequest) (*followpb.FetchReply, error) {
-	reply, err := p.other.HandOn(request)
+	reply, err := p.other.HandleFetch(request)
 	p.packed = reply.GetPacked()
 	return reply, err
 }
@@ -83,8 +83,8 @@
 		f := &Follower{Kind: "k", Copy: &versionRecorder{}}
 		p := NewPublisher("p", map[string]*Follower{"k": f}, &halfSilentPeers{peers}, TimingFor(maxStaleness))
 		f.applyList(store.Listing{Position: store.At(2), Objects: []store.Object{{Key: "k/main", Position: store.At(2)}}})
-		p.AskAround(t.Context())
-		p.Take(&followpb.Confirmation{From: "first", Copies: []*followpb.CopyState{{Name: "k", LastChange: 7}}})
+		p.QueryRandomPeer(t.Context())
+		p.HandleConfirmation(&followpb.Confirmation{From: "first", Copies: []*followpb.CopyState{{Name: "k", LastChange: 7}}})
 		time.Sleep(maxStaleness / 10)
 		if have := f.fresh.currentPosition(); have != store.At(7) {
 			t.Errorf("the copy is at %v, want 7", have)
--- a/pkg/follow/fleet_test.go
+++ b/pkg/follow/fleet_test.go
@@ -56,7 +56,7 @@
 	}
 	changes, err := l.lossyStore.Watch(ctx, kind, since, wait)
 	if err == nil && len(changes.Changes) > 0 {
-		store.AnswerBegun(ctx)
+		store.NotifyAnswerStarted(ctx)
 		pause.For(ctx, time.Duration(l.transferTime.Load()))
 		err = ctx.Err()
 	}
@@ -153,7 +153,7 @@
 	if other.dead() || inst.isolated.Load() || inst.fleet.fetchesFail.Load() || rand.Float64() < inst.fleet.lossRate {
 		return nil, context.DeadlineExceeded
 	}
-	reply, err := other.publisher.HandOn(request)
+	reply, err := other.publisher.HandleFetch(request)
 	if err == nil {
 		other.servedBytes.Add(int64(len(reply.Packed)))
 		time.Sleep(time.Duration(len(reply.Packed)) * time.Second / linkBytesPerSecond)
@@ -180,7 +180,7 @@
 		pause.For(ctx, lostConfirmTimeout)
 		return context.DeadlineExceeded
 	}
-	other.publisher.Take(confirmation)
+	other.publisher.HandleConfirmation(confirmation)
 	return nil
 }
 
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -78,9 +78,9 @@
 	// argument tells whether the store was unavailable to all instances. WatchStarted is called
 	// each time this instance begins to watch the store itself, with the reason and the time for
 	// which the confirmations of others sufficed. Each may be nil.
-	Lost    func(err error)
-	Found   func(outage bool)
-	Renewed func(reason Reason, waited time.Duration)
+	CallFailed     func(err error)
+	StoreRecovered func(outage bool)
+	WatchStarted   func(reason Reason, waited time.Duration)
 	// OutageEnded is called with the time since an outage of the store ended, when another instance
 	// reports that end; it may be nil.
 	OutageEnded func(ago time.Duration)
@@ -95,7 +95,7 @@
 	ConfirmationsMissing func(ctx context.Context)
 	// FetchInitial fetches a first copy from another instance and reports whether one had it; it
 	// may be nil.
-	Obtain func(ctx context.Context) bool
+	FetchInitial func(ctx context.Context) bool
 	// Number returns the number that an object's writer assigned to its content and that only
 	// increases; it may be nil. Content with a higher number than the store's is retained and
 	// served to other instances.
@@ -140,8 +140,8 @@
 		case err == nil:
 		case ctx.Err() != nil:
 		case errors.As(err, &staleErr):
-			if f.Renewed != nil {
-				f.Renewed(staleErr.Reason, time.Since(began))
+			if f.WatchStarted != nil {
+				f.WatchStarted(staleErr.Reason, time.Since(began))
 			}
 		case errors.Is(err, store.ErrHistoryGone):
 			f.fresh.reset() // changes were missed: read the list again
@@ -158,8 +158,8 @@
 // recordFailure records that the store did not answer.
 func (f *Follower) recordFailure(err error) {
 	f.failing = true
-	if f.Lost != nil {
-		f.Lost(err)
+	if f.CallFailed != nil {
+		f.CallFailed(err)
 	}
 }
 
@@ -178,12 +178,12 @@
 	// and no entry of a live upstream has expired. If this were treated as the end of an outage,
 	// removed entries would be kept at all instances, and upstreams that have left would get
 	// requests.
-	outage := !f.ConfirmedLately()
+	outage := !f.ConfirmedRecently()
 	if outage {
 		f.fresh.recordOutageEnd(0)
 	}
-	if f.Found != nil {
-		f.Found(outage)
+	if f.StoreRecovered != nil {
+		f.StoreRecovered(outage)
 	}
 }
 
@@ -214,7 +214,7 @@
 
 // loadInitial gets a first copy, from another instance if one has it.
 func (f *Follower) loadInitial(ctx context.Context) error {
-	if !f.needsList && f.Obtain != nil && f.Obtain(ctx) {
+	if !f.needsList && f.FetchInitial != nil && f.FetchInitial(ctx) {
 		return nil
 	}
 	return f.list(ctx)
--- a/pkg/follow/hedge.go
+++ b/pkg/follow/hedge.go
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answerBegun := make(chan struct{}, 2)
-	first := store.WithAnswerBegun(ctx, func() { answerBegun <- struct{}{} })
+	first := store.WithAnswerStarted(ctx, func() { answerBegun <- struct{}{} })
 	results := make(chan callResult[T], 2)
 	start := func(ctx context.Context) {
 		value, err := call(ctx)
--- a/pkg/follow/lost_test.go
+++ b/pkg/follow/lost_test.go
@@ -160,7 +160,7 @@
 		t.Run(c.description, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s, recorder := newLossyStore(), &versionRecorder{}
-				f := &Follower{Store: s, Kind: "k", Copy: recorder, Lost: func(error) {}, Found: func(bool) {}}
+				f := &Follower{Store: s, Kind: "k", Copy: recorder, CallFailed: func(error) {}, StoreRecovered: func(bool) {}}
 				ctx, cancel := context.WithCancel(t.Context())
 				var running sync.WaitGroup
 				running.Go(func() { f.Run(ctx) })
--- a/pkg/follow/outage_test.go
+++ b/pkg/follow/outage_test.go
@@ -30,7 +30,7 @@
 		f.fresh.recordOutageEnd(0) // noticed by this instance itself
 		for range 7 {
 			time.Sleep(500 * time.Millisecond)
-			publisher.Take(outageConfirmation(time.Since(ended) - 400*time.Millisecond))
+			publisher.HandleConfirmation(outageConfirmation(time.Since(ended) - 400*time.Millisecond))
 		}
 		if len(ends) > 0 {
 			t.Errorf("a known end of an outage counts %d more times", len(ends))
@@ -38,8 +38,8 @@
 		time.Sleep(time.Second)
 		ended = time.Now()
 		time.Sleep(700 * time.Millisecond)
-		publisher.Take(outageConfirmation(time.Since(ended)))
-		publisher.Take(outageConfirmation(time.Since(ended)))
+		publisher.HandleConfirmation(outageConfirmation(time.Since(ended)))
+		publisher.HandleConfirmation(outageConfirmation(time.Since(ended)))
 		if len(ends) != 1 || !ends[0].Truncate(time.Second/10).Equal(ended.Truncate(time.Second/10)) {
 			t.Errorf("another outage that ended at %v was reported to have ended at %v", ended, ends)
 		}
--- a/pkg/follow/publisher.go
+++ b/pkg/follow/publisher.go
@@ -229,7 +229,7 @@
 }
 
 // HandleConfirmation applies another instance's confirmation.
-func (p *Publisher) Take(confirmation *followpb.Confirmation) {
+func (p *Publisher) HandleConfirmation(confirmation *followpb.Confirmation) {
 	for _, state := range confirmation.Copies {
 		if follower := p.followers[state.Name]; follower != nil {
 			p.handleCopyState(confirmation.From, follower, state)
--- a/pkg/follow/simulation_test.go
+++ b/pkg/follow/simulation_test.go
@@ -182,11 +182,11 @@
 		copied := &simCopy{instance: i, kind: kind, startedAt: time.Now(), objects: map[string]store.Position{}}
 		f := &Follower{Store: i, Kind: kind, Copy: copied}
 		copies[kind], followers[kind] = copied, f
-		f.Obtain = func(ctx context.Context) bool { return i.fetchInitial(ctx, kind) }
+		f.FetchInitial = func(ctx context.Context) bool { return i.fetchInitial(ctx, kind) }
 	}
 	publisher := NewPublisher(i.name(), followers, i, TimingFor(i.sim.bound))
 	for _, f := range followers {
-		f.Lost = func(error) { publisher.AskAround(ctx) }
+		f.CallFailed = func(error) { publisher.QueryRandomPeer(ctx) }
 	}
 	i.mu.Lock()
 	i.publisher, i.copies, i.stop, i.diedAt, i.startedAt = publisher, copies, stop, time.Time{}, time.Now()
@@ -323,7 +323,7 @@
 	}
 	list := i.sim.store.list(kind)
 	i.tracef("list of %s at %v", kind, list.Position)
-	store.AnswerBegun(ctx)
+	store.NotifyAnswerStarted(ctx)
 	text := 0
 	for _, object := range list.Objects {
 		text += len(object.Value) * simCompressionRatio
@@ -358,7 +358,7 @@
 		text += len(change.Object.Value) * simCompressionRatio
 	}
 	if text > 0 {
-		store.AnswerBegun(ctx)
+		store.NotifyAnswerStarted(ctx)
 	}
 	return changes, i.receiveFromStore(ctx, text)
 }
@@ -443,7 +443,7 @@
 	request.Asker = i.name()
 	pause.For(ctx, simMessageTime)
 	_, publisher, _ := other.state()
-	reply, err := publisher.HandOn(request)
+	reply, err := publisher.HandleFetch(request)
 	if err != nil {
 		return nil, err
 	}
@@ -488,7 +488,7 @@
 	}
 	_, publisher, _ := other.state()
 	other.tracef("confirmation: %v", confirmation)
-	publisher.Take(confirmation)
+	publisher.HandleConfirmation(confirmation)
 	return nil
 }
 
--- a/pkg/follow/timing.go
+++ b/pkg/follow/timing.go
@@ -80,7 +80,7 @@
 // RelaxedTimingFor returns the timing for a copy whose bound is longer than that of other copies:
 // timeouts as long as the bound allows, so that the copy costs fewer calls. LastTimeout stays below
 // the shortest time after an outage within which instances must be up to date.
-func TimingWithin(bound time.Duration) Timing {
+func RelaxedTimingFor(bound time.Duration) Timing {
 	return newTiming(bound, maxRelaxedWatchTimeout, maxRelaxedLastTimeout)
 }
 
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -43,7 +43,7 @@
 // attempt is one transmission of a request to one upstream.
 type attempt struct {
 	c     *call
-	lease *placement.Place
+	lease *placement.Lease
 	conn  *httpconn.Conn
 	// sendDone is closed when sending has ended; sendErr is its result.
 	sendDone chan struct{}
@@ -67,7 +67,7 @@
 	}
 	lease, failed := c.chooseForRun(run)
 	if failed != nil {
-		run.Ended()
+		run.NoteEnd()
 		return failed
 	}
 	c.tried = append(c.tried, lease.ID)
@@ -92,8 +92,8 @@
 	if a.conn == nil {
 		return
 	}
-	if a.keepFor >= 0 && a.isSent() && a.conn.Clean() {
-		a.c.f.Conns.Keep(a.conn, a.keepFor)
+	if a.keepFor >= 0 && a.isSent() && a.conn.FullyRead() {
+		a.c.f.Conns.Put(a.conn, a.keepFor)
 		return
 	}
 	a.c.f.Conns.Drop(a.conn)
@@ -141,7 +141,7 @@
 	}
 	head := a.c.f.Codec.DecodeAnswer(response)
 	if head.Load != nil {
-		a.lease.Report(head.Load.Running, head.Load.Waiting)
+		a.lease.ReportLoad(head.Load.Running, head.Load.Waiting)
 	}
 	a.noteIncarnation(&head)
 	if failed := a.checkHead(&head); failed != nil {
@@ -157,26 +157,26 @@
 // connect takes an idle connection from the pool or opens one.
 func (a *attempt) connect(ctx context.Context) *failure {
 	address := a.lease.Address
-	if a.conn = a.c.f.Conns.Take(address); a.conn != nil {
+	if a.conn = a.c.f.Conns.Get(address); a.conn != nil {
 		return nil
 	}
 	maxConns := a.c.target.MaxConnections
-	if maxConns > 0 && a.c.f.Conns.Open(address) >= max(maxConns/max(a.c.f.NumInstances(), 1), 1) {
+	if maxConns > 0 && a.c.f.Conns.NumOpen(address) >= max(maxConns/max(a.c.f.NumInstances(), 1), 1) {
 		return &failure{step: stepDial, peer: address, err: errConnections, neutral: true}
 	}
 	began := a.c.f.Now()
 	conn, err := httpconn.Dial(ctx, address, min(dialTimeout, a.c.remaining()))
 	if load := a.c.f.Overload; load != nil && ctx.Err() == nil {
-		load.Connected(address, a.c.f.Now().Sub(began))
+		load.ObserveConnect(address, a.c.f.Now().Sub(began))
 	}
 	if err != nil {
 		if ctx.Err() == nil {
-			a.lease.Unreachable()
+			a.lease.ReportUnreachable()
 		}
 		return &failure{step: stepDial, peer: address, err: err}
 	}
 	a.c.f.meters.newConns.Inc(1)
-	a.c.f.Conns.Opened(address)
+	a.c.f.Conns.CountOpened(address)
 	a.conn = conn
 	return nil
 }
--- a/pkg/forward/call.go
+++ b/pkg/forward/call.go
@@ -53,8 +53,8 @@
 // setDeadline sets the deadline to the shorter of the client's and the route's timeouts.
 func (c *call) setDeadline() {
 	wait := c.route.Timeout
-	if c.r.Wait > 0 && (wait <= 0 || c.r.Wait < wait) {
-		wait = c.r.Wait
+	if c.r.ClientTimeout > 0 && (wait <= 0 || c.r.ClientTimeout < wait) {
+		wait = c.r.ClientTimeout
 	}
 	if wait <= 0 {
 		wait = defaultTimeout
@@ -71,7 +71,7 @@
 func (c *call) run(ctx context.Context) {
 	defer c.settleReservation()
 	c.f.meters.accepted.Inc(1)
-	c.serviceState.limit.First(c.accountName())
+	c.serviceState.limit.CountFirst(c.accountName())
 	for {
 		failure := c.tryUpstream(ctx)
 		if failure == nil {
@@ -176,7 +176,7 @@
 	if last.step == stepDial || last.step == stepBeforeSend {
 		return true // nothing reached the upstream, so this is not counted as a retry
 	}
-	return c.serviceState.limit.TryRepeat(c.accountName())
+	return c.serviceState.limit.TryRetry(c.accountName())
 }
 
 // minAttemptTime is the shortest time in which an attempt can succeed: two
@@ -204,7 +204,7 @@
 	case c.mayHaveRun && c.remaining() <= minAttemptTime:
 		refusal.Reason = Timeout
 	case c.mayHaveRun:
-		refusal.Reason = Unknown
+		refusal.Reason = OutcomeUnknown
 	case inQuarantine:
 		refusal.Reason = quarantined
 		if quarantined == Suspected {
@@ -233,8 +233,8 @@
 }
 
 // chooseUpstream leases an upstream for the next attempt.
-func (c *call) chooseUpstream() (*placement.Place, *failure) {
-	request := &placement.Want{PromptTokens: c.r.PromptTokens, Pause: c.route.Pause, Tried: c.tried}
+func (c *call) chooseUpstream() (*placement.Lease, *failure) {
+	request := &placement.Request{PromptTokens: c.r.PromptTokens, MaxPause: c.route.MaxPause, Tried: c.tried}
 	if c.target.Engine != nil {
 		request.TokensPerEvent = c.target.Engine.TokensPerEvent
 	}
--- a/pkg/forward/crash.go
+++ b/pkg/forward/crash.go
@@ -36,7 +36,7 @@
 // chooseForRun leases an upstream for a run. A request that may crash upstreams is not sent to one whose
 // process may have ended, since it could not be distinguished from the next process at that address. If there
 // is no other upstream, a request that is not suspected yet is sent there all the same.
-func (c *call) chooseForRun(run quarantine.Run) (*placement.Place, *failure) {
+func (c *call) chooseForRun(run quarantine.Run) (*placement.Lease, *failure) {
 	tried := c.tried
 	lease, failed := c.chooseUpstream()
 	for failed == nil && run.IsWatched() && c.processMayHaveEnded(lease) {
@@ -51,9 +51,9 @@
 	return lease, failed
 }
 
-func (c *call) processMayHaveEnded(lease *placement.Place) bool {
+func (c *call) processMayHaveEnded(lease *placement.Lease) bool {
 	q := c.f.Quarantine
-	return q.Undecided(lease.Address) || q.HasCrashed(lease.Address, lease.Incarnation())
+	return q.HasUndecided(lease.Address) || q.HasCrashed(lease.Address, lease.Incarnation())
 }
 
 // concludeRun passes what the attempt showed about the request to the quarantine.
@@ -83,7 +83,7 @@
 
 // probeUpstream finds out whether the upstream crashed or only the connection to it ended.
 func (a *attempt) probeUpstream(failed *failure) httpconn.PeerState {
-	state := a.c.f.PeerProber.Look(a.lease.Address)
+	state := a.c.f.PeerProber.Probe(a.lease.Address)
 	a.c.f.Log.Event(eventlog.RequestBrokeOff, a.c.r.ID, eventlog.Fields{
 		"state": state, "upstream": a.lease.ID, "address": a.lease.Address, "step": failed.step,
 		"fingerprint": a.c.Fingerprint().String(), "route": a.c.route.Name, "account": a.c.accountName(),
@@ -96,7 +96,7 @@
 	f := a.c.f
 	f.meters.crashes.Inc(1)
 	f.Log.Event(eventlog.RequestSuspected, a.c.r.ID, eventlog.Fields{
-		"fingerprint": record.Fingerprint.String(), "crashes": record.InARow(), "upstream": a.lease.ID,
+		"fingerprint": record.Fingerprint.String(), "crashes": record.ConsecutiveCrashes(), "upstream": a.lease.ID,
 		"condemned": f.Quarantine.StateOf(record.Fingerprint) == quarantine.Condemned,
 	})
 }
@@ -104,11 +104,11 @@
 // noteIncarnation tells the quarantine what an answer's head shows about the process that sent it.
 func (a *attempt) noteIncarnation(head *AnswerHead) {
 	switch {
-	case !a.c.f.Quarantine.Undecided(a.lease.Address):
+	case !a.c.f.Quarantine.HasUndecided(a.lease.Address):
 	case head.WrongIncarnation:
-		a.c.f.Quarantine.Ended(a.lease.Address, a.lease.Incarnation(), a.sentAt)
+		a.c.f.Quarantine.NoteGone(a.lease.Address, a.lease.Incarnation(), a.sentAt)
 	case head.NotRun || (head.Sealed && head.ID == a.c.r.ID):
-		a.c.f.Quarantine.Answered(a.lease.Address, a.lease.Incarnation(), a.sentAt)
+		a.c.f.Quarantine.NoteAnswer(a.lease.Address, a.lease.Incarnation(), a.sentAt)
 	}
 }
 
--- a/pkg/forward/forwarder.go
+++ b/pkg/forward/forwarder.go
@@ -57,7 +57,7 @@
 
 // PeerProber finds out the state of the upstream at an address whose connection ended.
 type PeerProber interface {
-	Look(address string) httpconn.PeerState
+	Probe(address string) httpconn.PeerState
 }
 
 // Deps holds the dependencies of a Forwarder.
@@ -144,7 +144,7 @@
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter(name, deps.Metrics) }
 	timer := func(name string) metrics.Timer { return metrics.GetOrRegisterTimer(name, deps.Metrics) }
 	if deps.PeerProber == nil {
-		deps.PeerProber = httpconn.NewLookout(deps.Conns, deps.Now)
+		deps.PeerProber = httpconn.NewPeerProber(deps.Conns, deps.Now)
 	}
 	if deps.Quarantine == nil {
 		deps.Quarantine = quarantine.NewTable("", nil)
@@ -196,10 +196,10 @@
 	for i := range table.Config.Services {
 		s := &table.Config.Services[i]
 		pool := f.serviceState(s.Name).pool
-		pool.SetCold(placement.Cold{
-			Limit: f.ColdLimit,
-			Bound: coldlimit.Bound{PerSecond: s.ColdPerSecond, Overage: f.ColdOverage, Slack: f.ColdSlack},
-			For:   s.ColdFor,
+		pool.SetColdPolicy(placement.ColdPolicy{
+			Limit:    f.ColdLimit,
+			Bound:    coldlimit.Bound{PerSecond: s.ColdPerSecond, Overage: f.ColdOverage, Slack: f.ColdSlack},
+			Duration: s.ColdDuration,
 		})
 		pool.Update(f.Registry.InService(s.Name), s.Engine != nil)
 	}
@@ -253,12 +253,12 @@
 		return nil, &Refusal{Reason: NoRoute}
 	}
 	c := &call{f: f, r: r, route: route}
-	if table.Config.Keyed && !route.Public {
+	if table.Config.KeyRequired && !route.Public {
 		if c.account = table.Account(r.Key); c.account == nil {
 			return nil, &Refusal{Reason: UnknownKey}
 		}
 	}
-	target := table.Service(route.Target(r.ID))
+	target := table.Service(route.SelectService(r.ID))
 	if target == nil {
 		return nil, &Refusal{Reason: NoUpstream, RetryAfter: defaultRetryAfter}
 	}
@@ -290,7 +290,7 @@
 		fields["config_version"] = table.Config.Version
 	}
 	number := eventlog.RequestRefused
-	if refusal.Reason == Unknown || refusal.Reason == Timeout {
+	if refusal.Reason == OutcomeUnknown || refusal.Reason == Timeout {
 		number = eventlog.RequestFailed
 		f.meters.unknown.Inc(1)
 	}
@@ -300,7 +300,7 @@
 
 // reserve reserves the request's maximum cost.
 func (c *call) reserve(ctx context.Context) *Refusal {
-	if c.account == nil || c.account.PrepaidTokens < 0 || !c.r.Costed {
+	if c.account == nil || c.account.PrepaidTokens < 0 || !c.r.HasTokenBounds {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
@@ -312,14 +312,14 @@
 	}
 	var short *prepaid.ShortError
 	if errors.As(err, &short) && short.Exhausted {
-		return &Refusal{Reason: Exhausted, Step: "reserve", Err: err}
+		return &Refusal{Reason: PrepaidExhausted, Step: "reserve", Err: err}
 	}
-	if errors.Is(err, prepaid.ErrKept) {
-		return &Refusal{Reason: TokensKept, RetryAfter: outageRetryAfter, Step: "reserve", Err: err}
+	if errors.Is(err, prepaid.ErrKeptForUrgent) {
+		return &Refusal{Reason: TokensKeptForUrgent, RetryAfter: outageRetryAfter, Step: "reserve", Err: err}
 	}
 	wait := outageRetryAfter
 	if errors.Is(err, prepaid.ErrBusy) || errors.Is(err, prepaid.ErrTooFew) {
 		wait = tokensShortRetryAfter
 	}
-	return &Refusal{Reason: TokensUnsure, RetryAfter: wait, Step: "reserve", Err: err}
+	return &Refusal{Reason: TokensUnreachable, RetryAfter: wait, Step: "reserve", Err: err}
 }
--- a/pkg/forward/prefill.go
+++ b/pkg/forward/prefill.go
@@ -7,10 +7,10 @@
 )
 
 // PrefillStats returns, by service, what this instance has measured of the engines' prefill.
-func (f *Forwarder) PrefillStats() map[string]placement.Reading {
-	out := map[string]placement.Reading{}
+func (f *Forwarder) PrefillStats() map[string]placement.PrefillStats {
+	out := map[string]placement.PrefillStats{}
 	for name, s := range f.cloneServices() {
-		if reading := s.pool.Reading(); reading.Answers > 0 {
+		if reading := s.pool.PrefillStats(); reading.Answers > 0 {
 			out[name] = reading
 		}
 	}
@@ -18,9 +18,9 @@
 }
 
 // RecordPeerStats records what the instance named from has measured of a service's engines.
-func (f *Forwarder) RecordPeerStats(from, service string, reading placement.Reading) {
+func (f *Forwarder) RecordPeerStats(from, service string, reading placement.PrefillStats) {
 	if s := f.cloneServices()[service]; s != nil {
-		s.pool.Learn(from, reading)
+		s.pool.RecordPeerStats(from, reading)
 	}
 }
 
--- a/pkg/forward/refusal.go
+++ b/pkg/forward/refusal.go
@@ -11,19 +11,19 @@
 // The reasons. Those up to Suspected are given only to requests none of whose attempts
 // may have run.
 const (
-	NoConfiguration Reason = "no-configuration"
-	NoRoute         Reason = "no-route"
-	UnknownKey      Reason = "unknown-key"
-	Malformed       Reason = "malformed"
-	HeadTooLarge    Reason = "head-too-large"
-	BodyTooLarge    Reason = "body-too-large"
-	Exhausted       Reason = "prepaid-exhausted"
-	TokensUnsure    Reason = "tokens-not-reachable"
+	NoConfiguration   Reason = "no-configuration"
+	NoRoute           Reason = "no-route"
+	UnknownKey        Reason = "unknown-key"
+	Malformed         Reason = "malformed"
+	HeadTooLarge      Reason = "head-too-large"
+	BodyTooLarge      Reason = "body-too-large"
+	PrepaidExhausted  Reason = "prepaid-exhausted"
+	TokensUnreachable Reason = "tokens-not-reachable"
 	// TokensKeptForUrgent means that the account's remaining tokens are kept for urgent requests.
-	TokensKept    Reason = "tokens-kept-for-urgent"
-	NoUpstream    Reason = "no-upstream"
-	Overloaded    Reason = "overloaded"
-	NotRunTimeout Reason = "not-run-in-time"
+	TokensKeptForUrgent Reason = "tokens-kept-for-urgent"
+	NoUpstream          Reason = "no-upstream"
+	Overloaded          Reason = "overloaded"
+	NotRunTimeout       Reason = "not-run-in-time"
 	// Stopping means that the instance may end before the request does.
 	Stopping Reason = "instance-stopping"
 	// Quarantined means that the request crashed the upstreams that ran it and does not run
@@ -33,7 +33,7 @@
 	// one at a time.
 	Suspected Reason = "suspected"
 	// OutcomeUnknown means that an attempt failed and may have run.
-	Unknown Reason = "outcome-unknown"
+	OutcomeUnknown Reason = "outcome-unknown"
 	// Timeout means that the deadline passed during an attempt that may have run.
 	Timeout Reason = "timeout"
 )
--- a/pkg/forward/request.go
+++ b/pkg/forward/request.go
@@ -28,7 +28,7 @@
 	// Key is the account's key; empty for none.
 	Key string
 	// ClientTimeout is how long the client will wait; 0 if it did not say.
-	Wait time.Duration
+	ClientTimeout time.Duration
 	// Arrived is when the request had been read completely.
 	Arrived time.Time
 	// Prompt lists the parts of the prompt in order; the last belongs to this
@@ -37,7 +37,7 @@
 	// PromptTokens and MaxOutputTokens bound what the request costs.
 	PromptTokens, MaxOutputTokens int64
 	// HasTokenBounds says that the two bounds were given.
-	Costed bool
+	HasTokenBounds bool
 	// LastEventID is set by a client that resumes a stream.
 	LastEventID string
 }
--- a/pkg/forward/stream.go
+++ b/pkg/forward/stream.go
@@ -52,7 +52,7 @@
 	c := a.c
 	deadline := c.deadline
 	if c.route.Resumable && c.numSent < c.route.MaxAttempts {
-		silence := silenceFactor * max(c.route.Pause, c.route.Objective)
+		silence := silenceFactor * max(c.route.MaxPause, c.route.Objective)
 		if earlier := c.f.Now().Add(silence); earlier.Before(deadline) {
 			deadline = earlier
 		}
@@ -88,7 +88,7 @@
 		}
 	}
 	c.timing.recordEvent(c.f.Now(), c.r.Arrived)
-	a.lease.FirstEvent()
+	a.lease.ReportFirstEvent()
 	c.numEvents += count // before the write: events that may have reached the client are billed
 	if err := c.client.Event(events); err != nil {
 		return &failure{step: "deliver", err: err, noRetry: true}
--- a/pkg/httpcall/httpcall.go
+++ b/pkg/httpcall/httpcall.go
@@ -58,7 +58,7 @@
 	Stream bool
 	// OnSending, if not nil, is called when the connection is established, before
 	// the request is sent.
-	OnHanded func()
+	OnSending func()
 }
 
 // Call sends the request and reads the response, or only its header if the body
@@ -69,7 +69,7 @@
 	if err := ctx.Err(); err != nil {
 		return func() {}, &Error{Step: "dial", Peer: opts.Address, Err: err}
 	}
-	dialer := &oneShotDialer{Dialer: standard.NewDialer(), onSending: opts.OnHanded}
+	dialer := &oneShotDialer{Dialer: standard.NewDialer(), onSending: opts.OnSending}
 	host := newHostClient(opts, dialer)
 	req.SetConnectionClose()
 	stop := context.AfterFunc(ctx, dialer.close)
--- a/pkg/httpconn/httpconn.go
+++ b/pkg/httpconn/httpconn.go
@@ -56,7 +56,7 @@
 	// Peer is the address that was dialed.
 	Peer string
 	// DialDuration is how long the connection setup took, one round trip.
-	DialTook time.Duration
+	DialDuration time.Duration
 
 	tcp    *net.TCPConn
 	reader *bufio.Reader
@@ -96,7 +96,7 @@
 		_ = conn.Close()
 		return nil, &Error{Step: "dial", Peer: address, Err: errors.New("not a TCP connection")}
 	}
-	return &Conn{Peer: address, DialTook: time.Since(began), tcp: tcp, reader: bufio.NewReaderSize(tcp, readBufferBytes)}, nil
+	return &Conn{Peer: address, DialDuration: time.Since(began), tcp: tcp, reader: bufio.NewReaderSize(tcp, readBufferBytes)}, nil
 }
 
 // Send writes a whole request. Errors: *Error with step "send".
@@ -132,7 +132,7 @@
 // FullyRead reports whether no unread data is buffered. If a response is followed by
 // unsolicited bytes, the connection must not be reused, since the next request would get
 // them as its answer.
-func (c *Conn) Clean() bool { return c.reader.Buffered() == 0 }
+func (c *Conn) FullyRead() bool { return c.reader.Buffered() == 0 }
 
 // Close closes the connection immediately; it may be called at any time.
 func (c *Conn) Close() { _ = c.tcp.Close() }
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -32,7 +32,7 @@
 
 // Get removes and returns the most recently added idle connection to a peer that is still
 // usable, or nil. It closes the unusable ones that it meets.
-func (p *Pool) Take(peer string) *Conn {
+func (p *Pool) Get(peer string) *Conn {
 	for {
 		conn := p.pop(peer)
 		if conn == nil {
@@ -58,14 +58,14 @@
 }
 
 // CountOpened counts a connection that the caller has opened.
-func (p *Pool) Opened(peer string) {
+func (p *Pool) CountOpened(peer string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.numOpen[peer]++
 }
 
 // NumOpen returns how many connections to a peer are open, idle or in use.
-func (p *Pool) Open(peer string) int {
+func (p *Pool) NumOpen(peer string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.numOpen[peer]
@@ -73,7 +73,7 @@
 
 // Put returns a connection for reuse; idleTimeout is how long the peer said that it keeps
 // an idle connection, 0 if it said nothing.
-func (p *Pool) Keep(conn *Conn, idleTimeout time.Duration) {
+func (p *Pool) Put(conn *Conn, idleTimeout time.Duration) {
 	if idleTimeout <= 0 {
 		idleTimeout = defaultIdleTimeout
 	}
@@ -125,7 +125,7 @@
 
 // CloseIdle closes all idle connections to a peer. It is used when the peer has left or its
 // open connections have gone silent.
-func (p *Pool) Forget(peer string) {
+func (p *Pool) CloseIdle(peer string) {
 	p.mu.Lock()
 	conns := p.idle[peer]
 	delete(p.idle, peer)
--- a/pkg/httpconn/pool_test.go
+++ b/pkg/httpconn/pool_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Opened(address)
+	p.CountOpened(address)
 	return conn
 }
 
@@ -71,11 +71,11 @@
 			conn := dialPeer(t, p, address)
 			c.spoil(<-accepted)
 			waitUntil(t, func() bool { return !conn.isReusable() })
-			p.Keep(conn, time.Minute)
-			if p.Take(address) != nil {
+			p.Put(conn, time.Minute)
+			if p.Get(address) != nil {
 				t.Error("Get returned an unusable connection")
 			}
-			if p.Open(address) != 0 {
+			if p.NumOpen(address) != 0 {
 				t.Error("the unusable connection still counts as open")
 			}
 		})
@@ -91,14 +91,14 @@
 	p := NewPool(func() time.Time { return now })
 	conn := dialPeer(t, p, address)
 	defer func() { _ = (<-accepted).Close() }()
-	p.Keep(conn, 10*time.Second)
+	p.Put(conn, 10*time.Second)
 	now = now.Add(5 * time.Second)
-	if p.Take(address) != conn {
+	if p.Get(address) != conn {
 		t.Fatal("Get did not return a usable connection")
 	}
-	p.Keep(conn, 10*time.Second)
+	p.Put(conn, 10*time.Second)
 	now = now.Add(7 * time.Second)
-	if p.Take(address) != nil {
+	if p.Get(address) != nil {
 		t.Error("Get returned a connection that was idle for too long")
 	}
 }
--- a/pkg/httpconn/prober.go
+++ b/pkg/httpconn/prober.go
@@ -48,12 +48,12 @@
 }
 
 // NewPeerProber returns a prober that puts the connections it opens into a pool; nil to close them.
-func NewLookout(pool *Pool, now func() time.Time) *PeerProber {
+func NewPeerProber(pool *Pool, now func() time.Time) *PeerProber {
 	return &PeerProber{pool: pool, now: now, probes: map[string]*probe{}}
 }
 
 // Probe returns the state of the peer at an address, within probeTimeout.
-func (p *PeerProber) Look(address string) PeerState {
+func (p *PeerProber) Probe(address string) PeerState {
 	p.mu.Lock()
 	p.dropExpired()
 	current := p.probes[address]
@@ -89,8 +89,8 @@
 		conn.Close()
 		return
 	}
-	p.pool.Opened(conn.Peer)
-	p.pool.Keep(conn, 0)
+	p.pool.CountOpened(conn.Peer)
+	p.pool.Put(conn, 0)
 }
 
 // dropExpired drops the results that are too old to be used; the caller holds p.mu. It goes through all
--- a/pkg/httpconn/prober_test.go
+++ b/pkg/httpconn/prober_test.go
@@ -15,21 +15,21 @@
 	address := listener.Addr().String()
 	now := time.Unix(0, 0)
 	pool := NewPool(time.Now)
-	prober := NewLookout(pool, func() time.Time { return now })
-	if state := prober.Look(address); state != Answering {
+	prober := NewPeerProber(pool, func() time.Time { return now })
+	if state := prober.Probe(address); state != Answering {
 		t.Errorf("state of a listening peer is %q", state)
 	}
-	if pool.Take(address) == nil {
+	if pool.Get(address) == nil {
 		t.Error("the probe's connection was not put into the pool")
 	}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if state := prober.Look(address); state != Answering {
+	if state := prober.Probe(address); state != Answering {
 		t.Errorf("state is %q before the first probe's result expired", state)
 	}
 	now = now.Add(probeResultLifetime)
-	if state := prober.Look(address); state != Crashed {
+	if state := prober.Probe(address); state != Crashed {
 		t.Errorf("state of a peer that refuses connections is %q", state)
 	}
 }
--- a/pkg/httpserve/httpserve.go
+++ b/pkg/httpserve/httpserve.go
@@ -46,7 +46,7 @@
 	ReadTimeout time.Duration
 	// CancelOnDisconnect cancels a request's context when its client closes the
 	// connection.
-	SenseLeaving bool
+	CancelOnDisconnect bool
 	// WrapConn, if not nil, wraps each accepted connection.
 	WrapConn func(net.Conn) net.Conn
 }
@@ -90,7 +90,7 @@
 		server.WithDisablePreParseMultipartForm(true),
 		server.WithDisableDefaultDate(true),
 		server.WithDisableDefaultContentType(true),
-		server.WithSenseClientDisconnection(opts.SenseLeaving),
+		server.WithSenseClientDisconnection(opts.CancelOnDisconnect),
 	}
 	if opts.TLS != nil {
 		options = append(options, server.WithTLS(opts.TLS))
@@ -145,7 +145,7 @@
 
 // HandleJSON returns a handler that decodes a JSON body and passes it to a function.
 // A body that cannot be decoded is answered with 400.
-func Take[T any](handle func(T)) app.HandlerFunc {
+func HandleJSON[T any](handle func(T)) app.HandlerFunc {
 	return func(_ context.Context, c *app.RequestContext) {
 		var body T
 		if json.Unmarshal(c.Request.Body(), &body) != nil {
--- a/pkg/instance/admin.go
+++ b/pkg/instance/admin.go
@@ -85,7 +85,7 @@
 	metrics.GetOrRegisterGauge("config.services", i.metrics).Update(int64(len(i.config.Snapshot().Services)))
 	metrics.GetOrRegisterGauge("peers.bytes_in", i.metrics).Update(i.peerTraffic.In.Load())
 	metrics.GetOrRegisterGauge("peers.bytes_out", i.metrics).Update(i.peerTraffic.Out.Load())
-	metrics.GetOrRegisterGauge("requests.active", i.metrics).Update(i.entry.Active())
+	metrics.GetOrRegisterGauge("requests.active", i.metrics).Update(i.entry.NumActive())
 	c.JSON(consts.StatusOK, i.metrics.GetAll())
 }
 
@@ -94,14 +94,14 @@
 		Name:        i.settings.Name,
 		Incarnation: i.incarnation,
 		State:       i.State(),
-		Active:      i.entry.Active(),
+		Active:      i.entry.NumActive(),
 		Generations: map[string]uint64{},
 		Members:     i.table.View(),
 		Grants:      i.budgets.Holder().View(),
 		Quarantine:  i.quarantine.Summary(),
 		Emptied:     i.config.EmptiedDomains().Domains,
 	}
-	status.StoreUp = i.storeMonitor.Up()
+	status.StoreUp = i.storeMonitor.Available()
 	for _, f := range i.config.Snapshot().Services {
 		status.Generations[f.Service] = f.Generation
 	}
--- a/pkg/instance/era.go
+++ b/pkg/instance/era.go
@@ -10,9 +10,9 @@
 )
 
 // noteEra handles what an answer of the store reported of the store's era.
-func (i *Instance) noteEra(update store.EraNews) {
-	if update.Fault != nil {
-		i.log.Event(eventlog.StoreEraFault, "", eventlog.Fields{"era": update.To, "cause": update.Fault.Error()})
+func (i *Instance) noteEra(update store.EraEvent) {
+	if update.Err != nil {
+		i.log.Event(eventlog.StoreEraFault, "", eventlog.Fields{"era": update.To, "cause": update.Err.Error()})
 		return
 	}
 	i.storeEra.Store(uint64(update.To))
@@ -20,7 +20,7 @@
 		return // the first era that this process has seen
 	}
 	i.log.Event(eventlog.StoreWentBack, "", eventlog.Fields{"from": update.From, "era": update.To})
-	i.claims.NoteEra()
+	i.claims.NoteStoreRestored()
 	i.quarantine.StoreAgain()
 }
 
--- a/pkg/instance/instance.go
+++ b/pkg/instance/instance.go
@@ -58,7 +58,7 @@
 	incarnation string
 	log         *eventlog.Log
 	metrics     metrics.Registry
-	lifecycle   *life.Life
+	lifecycle   *life.Lifecycle
 
 	store       *platform.Client
 	peerClient  *peer.Client
@@ -78,9 +78,9 @@
 	// quarantine tracks the requests that crash upstreams.
 	quarantine       *keeper.Keeper
 	entry            *entry.Entry
-	configFetches    *ring.Ring[configFetch]
-	heartbeatTrigger *ring.Ring[struct{}]
-	changeLogger     member.Notes // used by runHeartbeats only
+	configFetches    *ring.Queue[configFetch]
+	heartbeatTrigger *ring.Queue[struct{}]
+	changeLogger     member.ChangeLogger // used by runHeartbeats only
 	// registeredAt is when this instance was last registered in the store; used by
 	// discover only.
 	registeredAt time.Time
@@ -91,7 +91,7 @@
 
 	clientServerTLS, peerServerTLS, peerClientTLS *tls.Config // nil for plain connections
 
-	storeMonitor *life.StoreTie
+	storeMonitor *life.StoreMonitor
 
 	// syncedGenerations is the generationSum that syncLedger last wrote to the
 	// ledger; used by syncLedger only.
@@ -117,7 +117,7 @@
 	}
 	i.backgroundCtx, i.cancelBackground = context.WithCancel(context.Background())
 	i.lifecycle = life.New(i.log)
-	i.storeMonitor = life.NewStoreTie(i.log)
+	i.storeMonitor = life.NewStoreMonitor(i.log)
 	if err := i.provisionTLS(); err != nil {
 		return nil, err
 	}
@@ -137,15 +137,15 @@
 		i.clientServerTLS, err = tlsfiles.ServerConfig(tlsfiles.Files(files))
 	}
 	if files := i.settings.PeerTLS; err == nil && files != (settings.TLSFiles{}) {
-		i.peerServerTLS, i.peerClientTLS, err = tlsfiles.Peer(tlsfiles.Files(files))
+		i.peerServerTLS, i.peerClientTLS, err = tlsfiles.PeerConfigs(tlsfiles.Files(files))
 	}
 	return err
 }
 
 func (i *Instance) provisionFleet() {
 	s := i.settings
-	listener := store.Listener{State: func(err error) { i.storeMonitor.Note(err) }, Era: i.noteEra}
-	i.store = platform.NewListeningClient(s.PlatformAddress, s.StoreTimeout(), listener)
+	listener := store.Listener{OnCall: func(err error) { i.storeMonitor.Record(err) }, OnEra: i.noteEra}
+	i.store = platform.NewClientWithListener(s.PlatformAddress, s.StoreTimeout(), listener)
 	i.table = member.NewTable(member.Config{
 		Self: &memberpb.Member{
 			Incarnation: i.incarnation,
@@ -154,12 +154,12 @@
 			Domain:      s.Domain,
 			PeerAddress: s.PeerAdvertise,
 		},
-		Silent:    s.PeerSilent(),
-		Heartbeat: s.Heartbeat(),
-		Fanout:    member.DefaultFanout,
-		Now:       time.Now,
+		SilenceTimeout:    s.PeerSilenceTimeout(),
+		HeartbeatInterval: s.HeartbeatInterval(),
+		Fanout:            member.DefaultFanout,
+		Now:               time.Now,
 	})
-	i.peerClient = peer.NewClient(i.table.Address, i.table.Heard, &i.peerTraffic, i.peerClientTLS)
+	i.peerClient = peer.NewClient(i.table.Address, i.table.MarkHeard, &i.peerTraffic, i.peerClientTLS)
 	i.quarantine = keeper.New(keeper.Deps{
 		Self:     s.Name,
 		Members:  i.table,
@@ -174,9 +174,9 @@
 		Send:        i.peerClient.Heartbeat,
 		Generations: i.serviceGenerations,
 		Era:         i.storeEra.Load,
-		HeardEra:    i.notePeerEra,
+		OnEra:       i.notePeerEra,
 		Quarantine:  i.quarantine,
-		Newer: func(address string, services []string) {
+		OnNewerGenerations: func(address string, services []string) {
 			i.configFetches.TryPut(configFetch{address: address, services: services})
 		},
 	}
@@ -189,10 +189,10 @@
 	s := i.settings
 	view := tokens.MemberFleet{Table: i.table}
 	cfg := budget.Config{
-		Self:          i.incarnation,
-		Shards:        s.LedgerShards,
-		Ahead:         time.Duration(s.AheadSeconds) * time.Second,
-		MinimumSigned: minSignedAhead,
+		Self:            i.incarnation,
+		Shards:          s.LedgerShards,
+		AllocateAhead:   time.Duration(s.AheadSeconds) * time.Second,
+		MinSignedTokens: minSignedAhead,
 	}
 	i.budgets = budget.NewNode(cfg, budget.Deps{
 		Ledger:   tokens.LedgerStore{Store: i.store},
@@ -207,14 +207,14 @@
 	i.billKeeper = bill.NewKeeper(i.store)
 	i.claims = claim.NewClaimer(i.incarnation, i.store, claimFleet{i.table}, s.ClaimShards, time.Now)
 	i.entry = entry.New(i.backgroundCtx, entry.Deps{
-		Self:    i.incarnation,
-		Domain:  s.Domain,
-		Config:  i.config,
-		Budgets: i.budgets,
-		Journal: i.journal,
-		Claims:  i.claims,
-		Silent:  i.table.Silent,
-		Lookout: httpconn.NewLookout(nil, time.Now),
+		Self:       i.incarnation,
+		Domain:     s.Domain,
+		Config:     i.config,
+		Budgets:    i.budgets,
+		Journal:    i.journal,
+		Claims:     i.claims,
+		Silent:     i.table.Silent,
+		PeerProber: httpconn.NewPeerProber(nil, time.Now),
 
 		Quarantine: i.quarantine.Table(),
 
@@ -235,7 +235,7 @@
 	opts := httpserve.Options{
 		Address:      i.settings.CallerAddress,
 		MaxBodyBytes: maxBodyBytes,
-		ReadTimeout:  i.settings.CallerRead(),
+		ReadTimeout:  i.settings.CallerReadTimeout(),
 		TLS:          i.clientServerTLS,
 	}
 	if i.clientServer, err = httpserve.Listen(opts); err != nil {
@@ -245,13 +245,13 @@
 	if i.adminServer, err = httpserve.Listen(opts); err != nil {
 		return fmt.Errorf("listen for operators: %w", err)
 	}
-	i.entry.Routes(i.clientServer)
+	i.entry.RegisterRoutes(i.clientServer)
 	i.registerAdminRoutes()
 	return nil
 }
 
 // onConfig applies each document that comes into force.
-func (i *Instance) onConfig(f *configsync.InForce) {
+func (i *Instance) onConfig(f *configsync.ActiveDocument) {
 	i.entry.ApplyConfig(f)
 }
 
--- a/pkg/instance/members.go
+++ b/pkg/instance/members.go
@@ -36,7 +36,7 @@
 
 // Probe implements the members service.
 func (i *Instance) Probe(ctx context.Context, req *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
-	return &memberpb.ProbeReply{Answered: i.gossip.Answers(ctx, req.Incarnation, req.Address)}, nil
+	return &memberpb.ProbeReply{Answered: i.gossip.IsReachable(ctx, req.Incarnation, req.Address)}, nil
 }
 
 // FetchConfig implements the members service.
--- a/pkg/instance/run.go
+++ b/pkg/instance/run.go
@@ -57,7 +57,7 @@
 	for _, seed := range i.settings.Seeds {
 		_ = i.gossip.Join(ctx, seed) // retried by the next call
 	}
-	i.gossip.Round(ctx)
+	i.gossip.SendRound(ctx)
 	return len(i.config.Snapshot().Services) > 0
 }
 
@@ -70,7 +70,7 @@
 	i.startTask(i.quarantine.Spread)
 	i.startTask(i.runConfigFetches)
 	i.startTask(i.entry.PollLoads)
-	i.startTask(i.entry.WatchIncarnations)
+	i.startTask(i.entry.PollIncarnations)
 	i.startTask(i.runHeartbeats)
 	i.startPeriodicTask(budgetInterval, i.budgets.Tick)
 	i.startPeriodicTask(budgetInterval, i.syncLedger)
@@ -124,9 +124,9 @@
 // heartbeatTrigger signals a change that the peers should learn.
 func (i *Instance) runHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		i.gossip.Round(ctx)
-		i.changeLogger.Look(i.table, i.log)
-		timer := time.NewTimer(i.settings.Heartbeat())
+		i.gossip.SendRound(ctx)
+		i.changeLogger.LogChanges(i.table, i.log)
+		timer := time.NewTimer(i.settings.HeartbeatInterval())
 		select {
 		case <-i.heartbeatTrigger.Items():
 		case <-timer.C:
@@ -214,5 +214,5 @@
 	for ctx.Err() == nil && i.journal.Flush(ctx) != nil {
 		pause.For(ctx, retryDelay)
 	}
-	i.gossip.Round(ctx)
+	i.gossip.SendRound(ctx)
 }
--- a/pkg/life/life.go
+++ b/pkg/life/life.go
@@ -28,10 +28,10 @@
 
 // Lifecycle is the state machine of a process. Its owner calls Synced at most once, then
 // Stop, then Done.
-type Life struct{ machine *stateless.StateMachine }
+type Lifecycle struct{ machine *stateless.StateMachine }
 
 // New returns the lifecycle of a process that is starting.
-func New(log *eventlog.Log) *Life {
+func New(log *eventlog.Log) *Lifecycle {
 	logEvent := func(number eventlog.Number) func(context.Context, ...any) error {
 		return func(context.Context, ...any) error {
 			log.Event(number, "", nil)
@@ -43,27 +43,27 @@
 	machine.Configure(Ready).OnEntry(logEvent(eventlog.InstanceReady)).Permit(triggerStop, Draining)
 	machine.Configure(Draining).OnEntry(logEvent(eventlog.InstanceDraining)).Permit(triggerDone, Stopped)
 	machine.Configure(Stopped).OnEntry(logEvent(eventlog.InstanceStopped))
-	return &Life{machine: machine}
+	return &Lifecycle{machine: machine}
 }
 
 // Synced reports that the process can serve.
-func (l *Life) Synced() { l.fire(triggerSynced) }
+func (l *Lifecycle) Synced() { l.fire(triggerSynced) }
 
 // Stop reports that a planned stop has begun.
-func (l *Life) Stop() { l.fire(triggerStop) }
+func (l *Lifecycle) Stop() { l.fire(triggerStop) }
 
 // Done reports that the planned stop is complete.
-func (l *Life) Done() { l.fire(triggerDone) }
+func (l *Lifecycle) Done() { l.fire(triggerDone) }
 
 // fire makes a transition. The owner triggers each at most once and in order, so none is rejected.
-func (l *Life) fire(trigger string) { _ = l.machine.Fire(trigger) }
+func (l *Lifecycle) fire(trigger string) { _ = l.machine.Fire(trigger) }
 
 // State returns the current state.
-func (l *Life) State() string { return l.machine.MustState().(string) }
+func (l *Lifecycle) State() string { return l.machine.MustState().(string) }
 
 // StoreMonitor logs when the store stops answering and when it answers again. It is safe
 // for concurrent use.
-type StoreTie struct {
+type StoreMonitor struct {
 	log *eventlog.Log
 
 	mu        sync.Mutex
@@ -71,11 +71,13 @@
 }
 
 // NewStoreMonitor returns a monitor that takes the store to be available at first.
-func NewStoreTie(log *eventlog.Log) *StoreTie { return &StoreTie{log: log, available: true} }
+func NewStoreMonitor(log *eventlog.Log) *StoreMonitor {
+	return &StoreMonitor{log: log, available: true}
+}
 
 // Record records the result of a call, nil if the store answered it, and reports whether this
 // ended an outage. If many calls are answered at once, it reports so for only one of them.
-func (s *StoreTie) Note(err error) (recovered bool) {
+func (s *StoreMonitor) Record(err error) (recovered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	available := err == nil
@@ -92,7 +94,7 @@
 }
 
 // Available reports whether the store answered the last call.
-func (s *StoreTie) Up() bool {
+func (s *StoreMonitor) Available() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.available
--- a/pkg/life/life_test.go
+++ b/pkg/life/life_test.go
@@ -21,14 +21,14 @@
 // answer must count as its end.
 func TestOutageIsToldOnce(t *testing.T) {
 	log := eventlog.Discard("p")
-	monitor := NewStoreTie(log)
+	monitor := NewStoreMonitor(log)
 	ends := 0
 	for _, err := range []error{nil, errors.New("a"), errors.New("b"), nil, nil} {
-		if monitor.Note(err) {
+		if monitor.Record(err) {
 			ends++
 		}
 	}
-	if events := log.Recent(""); len(events) != 2 || ends != 1 || !monitor.Up() {
+	if events := log.Recent(""); len(events) != 2 || ends != 1 || !monitor.Available() {
 		t.Errorf("%d events logged, expected 2; %d ends of the outage, expected 1", len(events), ends)
 	}
 }
--- a/pkg/meeting/meeting.go
+++ b/pkg/meeting/meeting.go
@@ -82,7 +82,7 @@
 
 // Discovery finds other instances and tracks whether this one has joined them. It is safe for
 // concurrent use.
-type Meeting struct {
+type Discovery struct {
 	Config
 	Deps
 
@@ -97,10 +97,10 @@
 }
 
 // New returns a Discovery; Run must be called.
-func New(cfg Config, deps Deps) *Meeting { return &Meeting{Config: cfg, Deps: deps} }
+func New(cfg Config, deps Deps) *Discovery { return &Discovery{Config: cfg, Deps: deps} }
 
 // Joined reports whether this instance knows the other instances, or has found that there are none.
-func (m *Meeting) Joined() bool {
+func (m *Discovery) Joined() bool {
 	if m.foundNobody.Load() || m.Gossip.Converged() {
 		return true
 	}
@@ -109,19 +109,19 @@
 }
 
 // FoundNobody reports whether the store was read and lists no other instance that answers.
-func (m *Meeting) FoundNobody() bool { return m.foundNobody.Load() }
+func (m *Discovery) FoundNobody() bool { return m.foundNobody.Load() }
 
 // IsRegistrar reports whether this instance is one of those in its region that keep an entry in the
 // store.
-func (m *Meeting) IsRegistrar() bool { return m.Table.RankInRegion(registrarKey) < numRegistrars }
+func (m *Discovery) IsRegistrar() bool { return m.Table.RankInRegion(registrarKey) < numRegistrars }
 
 // NoteStoreRestored records that the store was restored from an older copy and may have lost this
 // instance's entry.
-func (m *Meeting) StoreWentBack() { m.registered.Store(false) }
+func (m *Discovery) NoteStoreRestored() { m.registered.Store(false) }
 
 // Run announces this instance and discovers others until ctx ends: through the seeds, and through the
 // store if no seed answers.
-func (m *Meeting) Run(ctx context.Context) {
+func (m *Discovery) Run(ctx context.Context) {
 	for failedAttempts := 0; ctx.Err() == nil; {
 		var interval time.Duration
 		if !m.joinSeeds(ctx) && m.isAlone() {
@@ -137,7 +137,7 @@
 
 // searchStoreWhenAlone searches for other instances in the store once enough attempts at the seeds
 // have failed. It returns the time to the next attempt.
-func (m *Meeting) searchStoreWhenAlone(ctx context.Context, failedAttempts int) time.Duration {
+func (m *Discovery) searchStoreWhenAlone(ctx context.Context, failedAttempts int) time.Duration {
 	if failedAttempts < minSeedAttempts && len(m.Seeds) > 0 {
 		return retryInterval
 	}
@@ -150,7 +150,7 @@
 
 // searchForMore contacts, if this instance is a registrar, the instances that are listed in the store
 // but are not live members. It returns the time to the next search.
-func (m *Meeting) searchForMore(ctx context.Context) time.Duration {
+func (m *Discovery) searchForMore(ctx context.Context) time.Duration {
 	m.searches++
 	if m.searches == 1 {
 		return firstSearchDelay // most other instances are still starting
@@ -166,25 +166,25 @@
 
 // DiscoverAt adds the instance at an address to the members; if it does not answer, the failure is
 // logged.
-func (m *Meeting) MeetAt(ctx context.Context, address string) {
+func (m *Discovery) DiscoverAt(ctx context.Context, address string) {
 	if err := m.Gossip.Join(ctx, address); err != nil {
 		m.Log.Event(eventlog.MembersUnknown, "", eventlog.Fields{"step": "meet", "peer": address, "cause": err.Error()})
 	}
 }
 
 // noteContact records the time of the first contact with another instance.
-func (m *Meeting) noteContact() {
+func (m *Discovery) noteContact() {
 	now := time.Now()
 	m.firstContact.CompareAndSwap(nil, &now)
 }
 
-func (m *Meeting) isAlone() bool { return len(m.Table.Others()) == 0 }
+func (m *Discovery) isAlone() bool { return len(m.Table.Others()) == 0 }
 
 // joinSeeds joins the seeds that are no live members, and reports whether one answered.
-func (m *Meeting) joinSeeds(ctx context.Context) bool { return m.joinAll(ctx, m.UnmetSeeds()) }
+func (m *Discovery) joinSeeds(ctx context.Context) bool { return m.joinAll(ctx, m.UnknownSeeds()) }
 
 // joinAll joins the instances at all addresses concurrently, and reports whether one answered.
-func (m *Meeting) joinAll(ctx context.Context, addresses []string) bool {
+func (m *Discovery) joinAll(ctx context.Context, addresses []string) bool {
 	var answered atomic.Bool
 	var joins sync.WaitGroup
 	for _, address := range addresses {
@@ -200,10 +200,10 @@
 }
 
 // UnknownSeeds returns the addresses of the seeds at which there is no live member.
-func (m *Meeting) UnmetSeeds() []string { return m.unknown(m.Seeds) }
+func (m *Discovery) UnknownSeeds() []string { return m.unknown(m.Seeds) }
 
 // unknown returns the addresses at which there is no live member.
-func (m *Meeting) unknown(addresses []string) []string {
+func (m *Discovery) unknown(addresses []string) []string {
 	known := map[string]bool{m.Address: true}
 	for _, other := range m.Table.Others() {
 		known[other.PeerAddress] = true
@@ -220,7 +220,7 @@
 // joinThroughStore registers this instance and joins those listed in the store. This connects
 // instances none of whose seeds answers: each finds the entries written before its own, so of any
 // two instances at least one finds the other.
-func (m *Meeting) joinThroughStore(ctx context.Context) {
+func (m *Discovery) joinThroughStore(ctx context.Context) {
 	if !m.registered.Load() {
 		m.register(ctx)
 	}
@@ -243,7 +243,7 @@
 }
 
 // listAddresses reads the peer addresses of the entries in the store.
-func (m *Meeting) listAddresses(ctx context.Context) ([]string, error) {
+func (m *Discovery) listAddresses(ctx context.Context) ([]string, error) {
 	list, err := m.Store.List(ctx, Kind)
 	if err != nil {
 		m.Log.Event(eventlog.MembersUnknown, "", eventlog.Fields{"step": "list instances", "cause": err.Error()})
@@ -263,14 +263,14 @@
 
 // joinListed joins some randomly chosen listed instances that are no live members, and reports
 // whether one answered.
-func (m *Meeting) joinListed(ctx context.Context, listed []string) bool {
+func (m *Discovery) joinListed(ctx context.Context, listed []string) bool {
 	unknown := m.unknown(listed)
 	rand.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
 	return m.joinAll(ctx, unknown[:min(maxConcurrentJoins, len(unknown))])
 }
 
 // registerIfRanked writes this instance's entry if it is a registrar and has none yet.
-func (m *Meeting) registerIfRanked(ctx context.Context) {
+func (m *Discovery) registerIfRanked(ctx context.Context) {
 	if !m.registered.Load() && m.Joined() && m.IsRegistrar() {
 		m.register(ctx)
 	}
@@ -278,7 +278,7 @@
 
 // register writes this instance's entry; a failure is logged, and a later call of
 // registerIfRanked or joinThroughStore retries it.
-func (m *Meeting) register(ctx context.Context) {
+func (m *Discovery) register(ctx context.Context) {
 	value, err := json.Marshal(m.Table.Self())
 	if err == nil {
 		change := func([]byte) ([]byte, error) { return value, nil }
--- a/pkg/meeting/meeting_test.go
+++ b/pkg/meeting/meeting_test.go
@@ -67,7 +67,7 @@
 
 // node is one instance. It answers from answersAt on.
 type node struct {
-	*Meeting
+	*Discovery
 	gossip    *member.Gossip
 	fleet     *fleet
 	index     int
@@ -98,7 +98,7 @@
 		Now:  time.Now,
 	})
 	n.gossip = &member.Gossip{Table: table, Send: n.send, Probe: n.probe}
-	n.Meeting = New(Config{Name: name, Address: address, Seeds: seeds}, Deps{
+	n.Discovery = New(Config{Name: name, Address: address, Seeds: seeds}, Deps{
 		Table: table, Gossip: n.gossip, Store: f.store, Log: eventlog.New(name, io.Discard),
 	})
 	f.nodes[address] = n
--- a/pkg/member/cache_test.go
+++ b/pkg/member/cache_test.go
@@ -36,7 +36,7 @@
 		case 3:
 			table.expireSuspects()
 		case 4:
-			table.Heard(m.Incarnation)
+			table.MarkHeard(m.Incarnation)
 		case 5:
 			table.NextHeartbeats(false)
 		default:
--- a/pkg/member/changelogger.go
+++ b/pkg/member/changelogger.go
@@ -12,7 +12,7 @@
 
 // ChangeLogger logs which members have joined, become silent or left since the previous call of
 // LogChanges, with one line per kind of change.
-type Notes struct {
+type ChangeLogger struct {
 	lastLogged map[string]loggedStatus
 }
 
@@ -39,7 +39,7 @@
 
 // LogChanges compares the table with its state at the previous call and logs the differences. It
 // must not be called concurrently.
-func (n *Notes) Look(table *Table, log *eventlog.Log) {
+func (n *ChangeLogger) LogChanges(table *Table, log *eventlog.Log) {
 	if n.lastLogged == nil {
 		n.lastLogged = map[string]loggedStatus{}
 	}
--- a/pkg/member/gossip.go
+++ b/pkg/member/gossip.go
@@ -37,18 +37,18 @@
 	Generations func() []*memberpb.ServiceGeneration
 	// Readings returns what this instance has measured of the services' engines; OnReadings
 	// receives the measurements of another instance, by its name. Both may be nil.
-	Readings func() []*memberpb.Reading
-	Learned  func(from string, readings []*memberpb.Reading)
+	Readings   func() []*memberpb.Reading
+	OnReadings func(from string, readings []*memberpb.Reading)
 	// Era returns the latest era of the store that this instance knows; OnEra receives the one
 	// that another instance knows. Both may be nil.
-	Era      func() uint64
-	HeardEra func(uint64)
+	Era   func() uint64
+	OnEra func(uint64)
 	// Quarantine provides this instance's quarantine hash and receives those of other instances;
 	// it may be nil.
 	Quarantine Quarantine
 	// OnNewerGenerations receives the names of the services for which the instance at an address
 	// has a higher generation than this one; it may be nil.
-	Newer func(address string, names []string)
+	OnNewerGenerations func(address string, names []string)
 
 	// consecutiveDiffering and consecutiveEqual count replies in a row with a different table
 	// hash, or with the same one.
@@ -114,14 +114,14 @@
 	for _, m := range d.Known {
 		g.Table.Learn(m, false)
 	}
-	if g.HeardEra != nil && d.Era > 0 {
-		g.HeardEra(d.Era)
+	if g.OnEra != nil && d.Era > 0 {
+		g.OnEra(d.Era)
 	}
 	if g.Quarantine != nil && d.From != nil {
 		g.Quarantine.Heard(d.From.PeerAddress, d.QuarantineHash, d.QuarantineStored)
 	}
-	if g.Learned != nil && d.From != nil && len(d.Readings) > 0 {
-		g.Learned(d.From.Name, d.Readings)
+	if g.OnReadings != nil && d.From != nil && len(d.Readings) > 0 {
+		g.OnReadings(d.From.Name, d.Readings)
 	}
 	own := map[string]uint64{}
 	for _, generation := range g.generations() {
@@ -137,7 +137,7 @@
 
 // SendRound sends one round of heartbeats concurrently, so that a peer that does not answer
 // delays no other.
-func (g *Gossip) Round(ctx context.Context) {
+func (g *Gossip) SendRound(ctx context.Context) {
 	var round sync.WaitGroup
 	for _, m := range g.Table.NextRound() {
 		// An error is ignored: the table detects silence by the time of the last message.
@@ -177,7 +177,7 @@
 
 // IsReachable reports whether a member answers this instance; it serves probe requests of
 // instances that got no answer from that member.
-func (g *Gossip) Answers(ctx context.Context, incarnation, address string) bool {
+func (g *Gossip) IsReachable(ctx context.Context, incarnation, address string) bool {
 	reply, err := g.Send(ctx, address, g.Digest(incarnation))
 	if err != nil {
 		return false // an error is the negative result of the probe
@@ -196,8 +196,8 @@
 }
 
 func (g *Gossip) mergeReply(address string, reply *memberpb.Digest) {
-	if newer := g.Merge(reply); len(newer) > 0 && g.Newer != nil {
-		g.Newer(address, newer)
+	if newer := g.Merge(reply); len(newer) > 0 && g.OnNewerGenerations != nil {
+		g.OnNewerGenerations(address, newer)
 	}
 	g.compareTable(reply)
 }
--- a/pkg/member/prober.go
+++ b/pkg/member/prober.go
@@ -112,7 +112,7 @@
 func (t *Table) ApplyProbeResult(incarnation string, result IndirectProbeResult) {
 	switch {
 	case result.Reached:
-		t.Heard(incarnation)
+		t.MarkHeard(incarnation)
 	case !t.hasMissedHeartbeat(incarnation): // it has answered in the meantime
 	case result.Answered > 0 || result.Requested == 0 || t.timeSinceHeard(incarnation) > unconfirmedSilenceTimeout:
 		t.Suspect(incarnation)
--- a/pkg/member/ranking.go
+++ b/pkg/member/ranking.go
@@ -67,7 +67,7 @@
 }
 
 // WinnersInOtherRegions returns, for a key, the winning live member of each other region.
-func (t *Table) WinnersElsewhere(key string) []*memberpb.Member {
+func (t *Table) WinnersInOtherRegions(key string) []*memberpb.Member {
 	best := map[string]*memberpb.Member{}
 	for _, m := range t.Live() {
 		if t.distance(m) < otherRegion {
--- a/pkg/member/ranking_test.go
+++ b/pkg/member/ranking_test.go
@@ -22,7 +22,7 @@
 	elsewhere.Region = "other"
 	tables := map[string]*Table{}
 	for _, self := range members {
-		table := NewTable(Config{Self: self, Silent: 3 * time.Second, Heartbeat: time.Second, Fanout: DefaultFanout,
+		table := NewTable(Config{Self: self, SilenceTimeout: 3 * time.Second, HeartbeatInterval: time.Second, Fanout: DefaultFanout,
 			Now: func() time.Time { return c.now }})
 		for _, m := range append(members, elsewhere) {
 			table.Learn(m, true)
--- a/pkg/member/table.go
+++ b/pkg/member/table.go
@@ -63,9 +63,9 @@
 	// SilenceTimeout is how long a peer may be silent before others work around it. If it is 0,
 	// silence is a state that instances disseminate (see Gossip.Run), which does not require
 	// messages between every two members.
-	Silent time.Duration
+	SilenceTimeout time.Duration
 	// HeartbeatInterval is the time between two rounds of heartbeats.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// Fanout is how many peers receive a heartbeat in one round.
 	Fanout int
 	// Now returns the current time.
@@ -83,9 +83,9 @@
 	t := &Table{
 		identity:          cfg.Self,
 		self:              cfg.Self,
-		silenceTimeout:    cfg.Silent,
+		silenceTimeout:    cfg.SilenceTimeout,
 		fanout:            cfg.Fanout,
-		heartbeatInterval: cfg.Heartbeat,
+		heartbeatInterval: cfg.HeartbeatInterval,
 		now:               cfg.Now,
 		randIntN:          cfg.RandIntN,
 		entries:           map[string]*entry{},
@@ -151,7 +151,7 @@
 
 // LearnSuccessor records that the process at an incarnation's address is a newer incarnation that
 // has replaced it.
-func (t *Table) Succeeded(incarnation, successor string) {
+func (t *Table) LearnSuccessor(incarnation, successor string) {
 	var before *memberpb.Member // entries replace it but never modify it, so it is safe to read unlocked
 	t.mu.Lock()
 	if e := t.entries[incarnation]; e != nil {
@@ -171,7 +171,7 @@
 }
 
 // MarkHeard records that an incarnation has sent a message.
-func (t *Table) Heard(incarnation string) {
+func (t *Table) MarkHeard(incarnation string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[incarnation]; e != nil {
@@ -246,7 +246,7 @@
 
 // LiveByName returns the newest incarnation of a name if it is neither silent nor leaving, or else
 // an empty string, and whether any incarnation of the name is known.
-func (t *Table) LiveNamed(name string) (incarnation string, known bool) {
+func (t *Table) LiveByName(name string) (incarnation string, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	incarnation = t.byName[name]
--- a/pkg/member/table_test.go
+++ b/pkg/member/table_test.go
@@ -12,11 +12,11 @@
 
 func newTable(c *clock) *Table {
 	return NewTable(Config{
-		Self:      newMember("self", "1", "a"),
-		Silent:    3 * time.Second,
-		Heartbeat: time.Second,
-		Fanout:    2,
-		Now:       func() time.Time { return c.now },
+		Self:              newMember("self", "1", "a"),
+		SilenceTimeout:    3 * time.Second,
+		HeartbeatInterval: time.Second,
+		Fanout:            2,
+		Now:               func() time.Time { return c.now },
 	})
 }
 
@@ -49,7 +49,7 @@
 	if !table.Silent("x-1") {
 		t.Error("an instance known from indirect records only is live")
 	}
-	table.Heard("x-1")
+	table.MarkHeard("x-1")
 	if table.Silent("x-1") {
 		t.Error("an instance is silent just after MarkHeard")
 	}
--- a/pkg/overload/limit.go
+++ b/pkg/overload/limit.go
@@ -91,7 +91,7 @@
 
 // ObserveConnect records how long it took to connect to an upstream, or until the attempt failed. A
 // connection that was refused at once shows as much about the link as one that was established.
-func (l *Limit) Connected(address string, duration time.Duration) {
+func (l *Limit) ObserveConnect(address string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance()
--- a/pkg/overload/limit_test.go
+++ b/pkg/overload/limit_test.go
@@ -70,7 +70,7 @@
 		took := roundTripTime + i.link.queueDelay()
 		time.Sleep(min(took, dialTimeout))
 		if i.limit != nil {
-			i.limit.Connected(address, min(took, dialTimeout))
+			i.limit.ObserveConnect(address, min(took, dialTimeout))
 		}
 		if took > dialTimeout {
 			continue
@@ -155,7 +155,7 @@
 		if n%2 == 0 {
 			took = dialTimeout
 		}
-		l.Connected(fmt.Sprint(n%30), took)
+		l.ObserveConnect(fmt.Sprint(n%30), took)
 		if l.Overloaded() || !l.Begin() {
 			t.Fatalf("overload reported after %d connections", n+1)
 		}
@@ -164,7 +164,7 @@
 	l.Overloaded()
 	for n := range 400 {
 		now = now.Add(10 * time.Millisecond)
-		l.Connected(fmt.Sprint(n%4), dialTimeout) // all upstreams of one small service are gone
+		l.ObserveConnect(fmt.Sprint(n%4), dialTimeout) // all upstreams of one small service are gone
 		if l.Overloaded() {
 			t.Fatalf("overload reported after %d connections to four upstreams", n+1)
 		}
@@ -177,7 +177,7 @@
 	l := New(func() time.Time { return now })
 	for n := range 100 {
 		now = now.Add(10 * time.Millisecond)
-		l.Connected(fmt.Sprint(n%30), dialTimeout)
+		l.ObserveConnect(fmt.Sprint(n%30), dialTimeout)
 	}
 	if !l.Overloaded() {
 		t.Fatal("overload not detected")
--- a/pkg/placement/cold.go
+++ b/pkg/placement/cold.go
@@ -16,18 +16,18 @@
 }
 
 // ColdPolicy limits the requests to upstreams of a service that have, or may have, just started.
-type Cold struct {
+type ColdPolicy struct {
 	Limit ColdLimit
 	Bound coldlimit.Bound
 	// Duration is how long an upstream counts as cold after its start.
-	For time.Duration
+	Duration time.Duration
 }
 
 // limitsRequests reports whether requests to cold upstreams are limited.
-func (c *Cold) limitsRequests() bool { return c.Limit != nil && c.Bound.Most() > 0 }
+func (c *ColdPolicy) limitsRequests() bool { return c.Limit != nil && c.Bound.MaxRequests() > 0 }
 
 // SetColdPolicy sets the limit on requests to cold upstreams.
-func (p *Pool) SetCold(policy Cold) {
+func (p *Pool) SetColdPolicy(policy ColdPolicy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.coldPolicy = policy
@@ -47,7 +47,7 @@
 // assumeCold treats the upstream as cold because it may have restarted without a change of its
 // registry entry.
 func (p *Pool) assumeCold(s *upstreamState, now time.Time) {
-	s.assumedColdUntil = now.Add(p.coldPolicy.For)
+	s.assumedColdUntil = now.Add(p.coldPolicy.Duration)
 }
 
 // assumeReturnedCold treats upstreams as cold that are in service now but are not in before: whatever
@@ -70,7 +70,7 @@
 
 // ReportUnreachable records that connecting to the upstream failed. When it can be reached again,
 // it may have restarted, so it counts as cold.
-func (l *Place) Unreachable() {
+func (l *Lease) ReportUnreachable() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	l.pool.assumeCold(l.state, l.pool.now())
@@ -88,6 +88,6 @@
 
 // withinColdLimit reports whether the request may be sent: it was counted against the limit of a cold
 // upstream, or its upstream is not cold.
-func (l *Place) withinColdLimit() bool {
+func (l *Lease) withinColdLimit() bool {
 	return l.countedAsCold || !l.pool.coldPolicy.limitsRequests() || !l.state.isCold(l.pool.now())
 }
--- a/pkg/placement/cold_test.go
+++ b/pkg/placement/cold_test.go
@@ -19,7 +19,7 @@
 	clock := func() time.Time { return now }
 	p := NewPool("x", clock)
 	limit := coldlimit.New("self", func() []string { return nil }, clock)
-	p.SetCold(Cold{Limit: limit, Bound: coldlimit.Bound{PerSecond: 12, Overage: 1.5, Slack: 5}, For: coldDuration})
+	p.SetColdPolicy(ColdPolicy{Limit: limit, Bound: coldlimit.Bound{PerSecond: 12, Overage: 1.5, Slack: 5}, Duration: coldDuration})
 	now = now.Add(time.Minute)
 	return p, &now
 }
@@ -29,7 +29,7 @@
 func placementsByUpstream(p *Pool, requests int) map[string]int {
 	counts := map[string]int{}
 	for range requests {
-		if lease := p.Choose(&Want{PromptTokens: 100}); lease != nil {
+		if lease := p.Choose(&Request{PromptTokens: 100}); lease != nil {
 			counts[lease.ID]++
 			lease.Done(Succeeded)
 		}
@@ -40,7 +40,7 @@
 func warm(id string) registry.Upstream { return registry.Upstream{ID: id, Domain: "x"} }
 
 func cold(id string) registry.Upstream {
-	return registry.Upstream{ID: id, Domain: "x", SlowFor: coldDuration}
+	return registry.Upstream{ID: id, Domain: "x", ColdDuration: coldDuration}
 }
 
 // Guards against so many requests to an upstream that has just started that it crashes, also when
@@ -79,8 +79,8 @@
 func TestUnreachableUpstreamIsTakenForCold(t *testing.T) {
 	p, _ := coldPool(t)
 	p.Update([]registry.Upstream{warm("a")}, true)
-	lease := p.Choose(&Want{PromptTokens: 100})
-	lease.Unreachable()
+	lease := p.Choose(&Request{PromptTokens: 100})
+	lease.ReportUnreachable()
 	lease.Done(Failed)
 	if got := placementsByUpstream(p, 200); got["a"] > 7 {
 		t.Errorf("got %v", got)
@@ -91,12 +91,12 @@
 func TestUpstreamThatTurnsColdAfterTheChoiceGetsNothing(t *testing.T) {
 	p, _ := coldPool(t)
 	p.Update([]registry.Upstream{warm("a")}, true)
-	lease := p.Choose(&Want{PromptTokens: 100})
+	lease := p.Choose(&Request{PromptTokens: 100})
 	p.Update([]registry.Upstream{cold("a")}, true)
 	if lease.InService() {
 		t.Error("a request chosen before the upstream became cold is sent")
 	}
-	if counted := p.Choose(&Want{PromptTokens: 100}); !counted.InService() {
+	if counted := p.Choose(&Request{PromptTokens: 100}); !counted.InService() {
 		t.Error("a request counted against the cold limit is not sent")
 	}
 }
--- a/pkg/placement/longprompt.go
+++ b/pkg/placement/longprompt.go
@@ -56,18 +56,18 @@
 // requests and engines in the same way. Without the exchange, instances with few requests
 // took ten seconds to learn the rate and sent the same sessions to other engines than the
 // rest did, which caused more repeated prefill than the dedicated engines saved.
-type Reading struct {
+type PrefillStats struct {
 	// TokensPerSecond is the prefill rate, estimated from Answers answers.
 	TokensPerSecond float64
 	Answers         int64
 	// TotalTokens and LongTokens are exponentially decayed sums over all prompts and over the
 	// long ones: of their tokens, weighted up for long prompts.
-	All, Long float64
+	TotalTokens, LongTokens float64
 }
 
 // peerStats are the statistics received from another instance.
 type peerStats struct {
-	Reading
+	PrefillStats
 	receivedAt time.Time
 }
 
@@ -96,11 +96,11 @@
 }
 
 // recordPeer stores the statistics of another instance and recomputes the sums over all peers.
-func (r *prefillEstimate) recordPeer(peer string, stats Reading, now time.Time) {
+func (r *prefillEstimate) recordPeer(peer string, stats PrefillStats, now time.Time) {
 	if r.peers == nil {
 		r.peers = map[string]peerStats{}
 	}
-	r.peers[peer] = peerStats{Reading: stats, receivedAt: now}
+	r.peers[peer] = peerStats{PrefillStats: stats, receivedAt: now}
 	r.peerAnswers, r.peerWeightedRate, r.peerTotal, r.peerLong = 0, 0, 0, 0
 	for name, other := range r.peers {
 		if now.Sub(other.receivedAt) > peerStatsLifetime {
@@ -110,8 +110,8 @@
 		weight := float64(min(other.Answers, maxAnswersPerInstance))
 		r.peerAnswers += weight
 		r.peerWeightedRate += weight * other.TokensPerSecond
-		r.peerTotal += other.All
-		r.peerLong += other.Long
+		r.peerTotal += other.TotalTokens
+		r.peerLong += other.LongTokens
 	}
 }
 
@@ -137,15 +137,15 @@
 }
 
 // PrefillStats returns this instance's own statistics, to be sent to its peers.
-func (p *Pool) Reading() Reading {
+func (p *Pool) PrefillStats() PrefillStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := &p.prefill
-	return Reading{TokensPerSecond: r.rate.tokensPerSecond, Answers: r.rate.answers, All: r.ownTotal, Long: r.ownLong}
+	return PrefillStats{TokensPerSecond: r.rate.tokensPerSecond, Answers: r.rate.answers, TotalTokens: r.ownTotal, LongTokens: r.ownLong}
 }
 
 // RecordPeerStats stores the statistics received from the named instance.
-func (p *Pool) Learn(peer string, stats Reading) {
+func (p *Pool) RecordPeerStats(peer string, stats PrefillStats) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.prefill.recordPeer(peer, stats, p.now())
@@ -153,11 +153,11 @@
 
 // longPromptThreshold returns the size in tokens above which a prompt delays other streams
 // beyond their allowed pause, or 0 while that is unknown.
-func (p *Pool) longPromptThreshold(req *Want) float64 {
+func (p *Pool) longPromptThreshold(req *Request) float64 {
 	if req.TokensPerEvent <= 0 {
 		return 0
 	}
-	stepSeconds := req.Pause.Seconds() / float64(req.TokensPerEvent)
+	stepSeconds := req.MaxPause.Seconds() / float64(req.TokensPerEvent)
 	return p.prefill.tokensPerSecond() * longPromptSteps * stepSeconds
 }
 
--- a/pkg/placement/longprompt_test.go
+++ b/pkg/placement/longprompt_test.go
@@ -39,7 +39,7 @@
 
 // simulation runs engines and the instances that choose among them, and counts late streams.
 type simulation struct {
-	simulator *emulator.World
+	simulator *emulator.Simulator
 	engines   map[string]*emulator.Engine
 	pools     []*placement.Pool
 	rng       *rand.Rand
@@ -57,7 +57,7 @@
 
 func newSimulation(seed uint64, dedicated bool) *simulation {
 	l := &simulation{
-		simulator: &emulator.World{},
+		simulator: &emulator.Simulator{},
 		engines:   map[string]*emulator.Engine{},
 		rng:       rand.New(rand.NewPCG(seed, 5)),
 		dedicated: dedicated,
@@ -84,7 +84,7 @@
 		l.scheduleArrivals(k, 0)
 	}
 	for at := time.Duration(0); at < simulatedTime; at += time.Second {
-		l.simulator.At(at, l.exchangeStats)
+		l.simulator.Schedule(at, l.exchangeStats)
 	}
 	l.simulator.Run()
 }
@@ -94,7 +94,7 @@
 	for n, from := range l.pools {
 		for m, to := range l.pools {
 			if n != m {
-				to.Learn(fmt.Sprint(n), from.Reading())
+				to.RecordPeerStats(fmt.Sprint(n), from.PrefillStats())
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 	if at >= simulatedTime {
 		return
 	}
-	l.simulator.At(at, func() {
+	l.simulator.Schedule(at, func() {
 		l.send(k)
 		l.scheduleArrivals(k, at)
 	})
@@ -120,26 +120,26 @@
 		{ID: k.template<<32 + session, Tokens: k.shared},
 		{ID: l.rng.Uint64(), Tokens: min(max(int64(own), 16), k.maxOwn)},
 	}
-	req := &placement.Want{Parts: parts}
+	req := &placement.Request{Parts: parts}
 	for _, part := range parts {
 		req.PromptTokens += part.Tokens
 	}
 	if l.dedicated {
-		req.Pause, req.TokensPerEvent = k.maxPause, engineConfig.TokensPerEvent
+		req.MaxPause, req.TokensPerEvent = k.maxPause, engineConfig.TokensPerEvent
 	}
 	instance := max(l.rng.IntN(10)-6, 0) // seven of ten requests arrive at the first instance
 	l.start(k, req, l.pools[instance%numInstances].Choose(req))
 }
 
-func (l *simulation) start(k requestKind, req *placement.Want, lease *placement.Place) {
+func (l *simulation) start(k requestKind, req *placement.Request, lease *placement.Lease) {
 	engine := l.engines[lease.ID]
 	r := &emulator.Request{PromptTokens: req.PromptTokens, NumEvents: k.events}
 	for _, part := range req.Parts[:2] {
 		r.SharedParts = append(r.SharedParts, emulator.Part(part))
 	}
 	r.OnFirstEvent = func() {
-		lease.Report(engine.Load())
-		lease.FirstEvent()
+		lease.ReportLoad(engine.Load())
+		lease.ReportFirstEvent()
 	}
 	r.OnEnd = func() {
 		lease.Done(placement.Succeeded)
@@ -184,8 +184,8 @@
 	l := newSimulation(4, true)
 	l.run()
 	for _, p := range l.pools {
-		if r := p.Reading(); r.Long > 0 {
-			t.Errorf("%.0f of %.0f tokens count as long", r.Long, r.All)
+		if r := p.PrefillStats(); r.LongTokens > 0 {
+			t.Errorf("%.0f of %.0f tokens count as long", r.LongTokens, r.TotalTokens)
 		}
 	}
 }
--- a/pkg/placement/pool.go
+++ b/pkg/placement/pool.go
@@ -43,7 +43,7 @@
 )
 
 // Request describes a request to be placed.
-type Want struct {
+type Request struct {
 	// Parts are the parts of the prompt. The last one is specific to the request; other
 	// requests may share the rest. Parts is empty for plain services.
 	Parts []Part
@@ -51,7 +51,7 @@
 	PromptTokens int64
 	// MaxPause is the longest pause between two events that the client allows, TokensPerEvent
 	// the number of tokens in an event. They are 0 if unknown.
-	Pause          time.Duration
+	MaxPause       time.Duration
 	TokensPerEvent int64
 	// Tried lists the ids of the incarnations to exclude.
 	Tried []string
@@ -65,7 +65,7 @@
 
 // sessionID returns the id of the part by which requests of one conversation are sent to
 // the same engine: the last part that other requests share. It is 0 without parts.
-func (w *Want) sessionID() uint64 {
+func (w *Request) sessionID() uint64 {
 	switch n := len(w.Parts); n {
 	case 0:
 		return 0
@@ -76,7 +76,7 @@
 	}
 }
 
-func (w *Want) sharedTokens() int64 {
+func (w *Request) sharedTokens() int64 {
 	var shared int64
 	for i := 0; i < len(w.Parts)-1; i++ {
 		shared += w.Parts[i].Tokens
@@ -96,7 +96,7 @@
 	prefill    prefillEstimate
 	states     map[string]*upstreamState
 	upstreams  []*upstreamState
-	coldPolicy Cold
+	coldPolicy ColdPolicy
 }
 
 // NewPool returns an empty pool for an instance in the failure domain.
@@ -126,8 +126,8 @@
 			s = &upstreamState{partSentAt: map[uint64]time.Time{}, hash: xxhash.Sum64String(u.ID)}
 			p.states[u.ID] = s
 		}
-		if s.SlowFor != u.SlowFor || s.coldUntil.IsZero() {
-			s.coldUntil = p.now().Add(u.SlowFor)
+		if s.ColdDuration != u.ColdDuration || s.coldUntil.IsZero() {
+			s.coldUntil = p.now().Add(u.ColdDuration)
 		}
 		s.Upstream = u
 		present[u.ID] = true
@@ -150,7 +150,7 @@
 }
 
 // Lease is a request's hold on an upstream until Done.
-type Place struct {
+type Lease struct {
 	registry.Upstream
 	pool  *Pool
 	state *upstreamState
@@ -166,7 +166,7 @@
 }
 
 // Choose returns a lease on the upstream of the lowest cost, or nil if no upstream may be chosen.
-func (p *Pool) Choose(req *Want) *Place {
+func (p *Pool) Choose(req *Request) *Lease {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -190,7 +190,7 @@
 // choice holds the parameters for the choice of one request's upstream.
 type choice struct {
 	*Pool
-	req *Want
+	req *Request
 	now time.Time
 	// long reports whether the prompt counts as long; numDedicated is the number of engines
 	// dedicated to long prompts.
@@ -202,7 +202,7 @@
 	home          *upstreamState
 }
 
-func (p *Pool) newChoice(req *Want, now time.Time) *choice {
+func (p *Pool) newChoice(req *Request, now time.Time) *choice {
 	c := &choice{Pool: p, req: req, now: now}
 	if p.engine {
 		c.longThreshold = p.longPromptThreshold(req)
@@ -274,7 +274,7 @@
 	return key ^ key>>33
 }
 
-func (p *Pool) cost(s *upstreamState, req *Want, home bool, now time.Time) float64 {
+func (p *Pool) cost(s *upstreamState, req *Request, home bool, now time.Time) float64 {
 	if !p.engine {
 		cost := s.load(now) + failureRateCost*s.currentFailureRate(now)
 		if s.Domain != p.domain {
@@ -300,7 +300,7 @@
 
 // cachedTokens estimates how many of the prompt's tokens the engine has in its cache: those of
 // the parts before the first one that is not cached.
-func (p *Pool) cachedTokens(s *upstreamState, req *Want, home bool, now time.Time) float64 {
+func (p *Pool) cachedTokens(s *upstreamState, req *Request, home bool, now time.Time) float64 {
 	var cached int64
 	for i := 0; i < len(req.Parts)-1; i++ {
 		sent, found := s.partSentAt[req.Parts[i].ID]
@@ -315,7 +315,7 @@
 	return float64(cached)
 }
 
-func (p *Pool) newLease(s *upstreamState, req *Want, home bool, now time.Time) *Place {
+func (p *Pool) newLease(s *upstreamState, req *Request, home bool, now time.Time) *Lease {
 	s.inFlight++
 	s.sentSinceReport++
 	pendingTokens := int64(0)
@@ -330,7 +330,7 @@
 		}
 	}
 	admitted := p.countColdRequest(s, now)
-	return &Place{Upstream: s.Upstream, pool: p, state: s, pendingTokens: pendingTokens, sentAt: now, countedAsCold: admitted}
+	return &Lease{Upstream: s.Upstream, pool: p, state: s, pendingTokens: pendingTokens, sentAt: now, countedAsCold: admitted}
 }
 
 // maxCachedParts is the number of parts recorded for one engine above which stale ones are
@@ -347,14 +347,14 @@
 
 // InService reports whether the upstream still accepts this request. Since it was chosen, it may have
 // announced that it leaves, restarted as another incarnation, or become cold.
-func (l *Place) InService() bool {
+func (l *Lease) InService() bool {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	return slices.Contains(l.pool.upstreams, l.state) && l.withinColdLimit()
 }
 
 // ReportLoad records the load that the upstream reported in the header of its answer.
-func (l *Place) Report(running, waiting int) {
+func (l *Lease) ReportLoad(running, waiting int) {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	s := l.state
@@ -363,7 +363,7 @@
 
 // ReportFirstEvent records that the first event has arrived, which ends the prefill, and updates the
 // estimated prefill rate.
-func (l *Place) FirstEvent() {
+func (l *Lease) ReportFirstEvent() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	if l.pendingTokens > 0 {
@@ -388,7 +388,7 @@
 )
 
 // Done releases the lease; only the first call has an effect.
-func (l *Place) Done(result Result) {
+func (l *Lease) Done(result Result) {
 	p := l.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/placement/pool_test.go
+++ b/pkg/placement/pool_test.go
@@ -27,8 +27,8 @@
 	return p, c
 }
 
-func conversation(session uint64, own int64) *Want {
-	return &Want{Parts: []Part{{ID: 1, Tokens: 2500}, {ID: session, Tokens: 3800}, {ID: session * 1000, Tokens: own}}, PromptTokens: 6300 + own}
+func conversation(session uint64, own int64) *Request {
+	return &Request{Parts: []Part{{ID: 1, Tokens: 2500}, {ID: session, Tokens: 3800}, {ID: session * 1000, Tokens: own}}, PromptTokens: 6300 + own}
 }
 
 // Requests of one conversation arrive at different instances. All instances must choose
@@ -80,7 +80,7 @@
 	p, c := newTestPool(false, engines(3, "a"))
 	requestsToFailing := func(result func(id string) Result) (failing int) {
 		for range 200 {
-			lease := p.Choose(&Want{})
+			lease := p.Choose(&Request{})
 			if lease.ID == "e00" {
 				failing++
 			}
@@ -111,9 +111,9 @@
 func TestAllAvoidedStillServes(t *testing.T) {
 	p, _ := newTestPool(false, engines(2, "a"))
 	for range 6 {
-		p.Choose(&Want{}).Done(Failed)
+		p.Choose(&Request{}).Done(Failed)
 	}
-	if p.Choose(&Want{}) == nil {
+	if p.Choose(&Request{}) == nil {
 		t.Error("no upstream was chosen while all are avoided")
 	}
 }
@@ -122,12 +122,12 @@
 // only among equally loaded ones.
 func TestLoadBeforeDomain(t *testing.T) {
 	p, _ := newTestPool(false, engines(2, "a", "b"))
-	local := p.Choose(&Want{})
+	local := p.Choose(&Request{})
 	if local.Domain != "a" {
 		t.Fatalf("an idle upstream in domain %s was chosen, want domain a", local.Domain)
 	}
-	local.Report(6, 4)
-	if remote := p.Choose(&Want{}); remote.Domain != "b" {
+	local.ReportLoad(6, 4)
+	if remote := p.Choose(&Request{}); remote.Domain != "b" {
 		t.Error("a full upstream was chosen because of its domain")
 	}
 }
@@ -136,12 +136,12 @@
 // left.
 func TestTriedUpstreamsArePassedOver(t *testing.T) {
 	p, _ := newTestPool(false, engines(2, "a"))
-	first := p.Choose(&Want{})
-	second := p.Choose(&Want{Tried: []string{first.ID}})
+	first := p.Choose(&Request{})
+	second := p.Choose(&Request{Tried: []string{first.ID}})
 	if second == nil || second.ID == first.ID {
 		t.Fatal("an upstream in Tried was chosen again")
 	}
-	if p.Choose(&Want{Tried: []string{first.ID, second.ID}}) != nil {
+	if p.Choose(&Request{Tried: []string{first.ID, second.ID}}) != nil {
 		t.Error("an upstream was chosen though all were tried")
 	}
 }
@@ -163,7 +163,7 @@
 	p, _ := newTestPool(true, list)
 	for range 6 {
 		lease := p.Choose(conversation(42, 500))
-		p.Choose(&Want{Tried: []string{lease.ID}}).Done(Failed)
+		p.Choose(&Request{Tried: []string{lease.ID}}).Done(Failed)
 		lease.Done(Succeeded)
 	}
 	for i := range list {
@@ -185,7 +185,7 @@
 	before := p.Choose(conversation(42, 500))
 	list[0].Born = 7
 	p.Update(list, true)
-	before.Report(64, 100)
+	before.ReportLoad(64, 100)
 	before.Done(Failed)
 	if s := p.states["e00"]; s.consecutiveFailures != 0 || s.inFlight != 0 || s.pendingTokens != 0 || s.waiting != 0 {
 		t.Errorf("the end of an earlier request changed the new process: %+v", s)
--- a/pkg/prepaid/drawer_test.go
+++ b/pkg/prepaid/drawer_test.go
@@ -144,7 +144,7 @@
 		f.runLoad(t, 24)
 		setPartitioned(false)
 		for _, m := range f.nodes {
-			m.StoreBack()
+			m.NoteStoreAvailable()
 		}
 		f.runLoad(t, 1) // the drawers reach the ledger again
 		_, refused := f.runLoad(t, 6)
--- a/pkg/prepaid/fake_test.go
+++ b/pkg/prepaid/fake_test.go
@@ -210,7 +210,7 @@
 		newest = max(newest, older)
 	}
 	s, err = prepaid.DecodeShard(f.shards[newest].value)
-	s.Begin(f.era)
+	s.BeginEra(f.era)
 	return f.era, 0, s, err
 }
 
@@ -314,7 +314,7 @@
 	if m.fleet.unreachable(m, peer) {
 		return errLost
 	}
-	peer.Recalled(budget)
+	peer.HandleRecall(budget)
 	return nil
 }
 
@@ -346,7 +346,7 @@
 }
 
 // NumKnown implements prepaid.Fleet.
-func (m *member) Known() int { return len(m.fleet.members()) }
+func (m *member) NumKnown() int { return len(m.fleet.members()) }
 
 // Live implements prepaid.Fleet, with the same view as Others.
 func (m *member) Live(name string) (string, bool) {
@@ -357,10 +357,10 @@
 }
 
 // Discover implements prepaid.Fleet; all instances are known.
-func (m *member) Meet(string) {}
+func (m *member) Discover(string) {}
 
 // SharesBudgets implements prepaid.Fleet.
-func (m *member) Counts(string) bool { return true }
+func (m *member) SharesBudgets(string) bool { return true }
 
 // Drawers implements prepaid.Fleet.
 func (m *member) Drawers(int) []string {
@@ -453,4 +453,4 @@
 func (m *member) Recovered(prepaid.Recovered) {}
 
 // DrawerAvoided implements prepaid.Observer.
-func (m *member) Resting(string, time.Duration, error) {}
+func (m *member) DrawerAvoided(string, time.Duration, error) {}
--- a/pkg/prepaid/fleet_start_test.go
+++ b/pkg/prepaid/fleet_start_test.go
@@ -193,7 +193,7 @@
 }
 
 // NumKnown implements prepaid.Fleet.
-func (m *startingInstance) Known() int {
+func (m *startingInstance) NumKnown() int {
 	count := 0
 	for _, other := range m.fleet.members {
 		if m.knows(other) {
@@ -204,7 +204,7 @@
 }
 
 // SharesBudgets implements prepaid.Fleet.
-func (m *startingInstance) Counts(string) bool { return true }
+func (m *startingInstance) SharesBudgets(string) bool { return true }
 
 // Live implements prepaid.Fleet.
 func (m *startingInstance) Live(name string) (string, bool) {
@@ -217,7 +217,7 @@
 }
 
 // Discover implements prepaid.Fleet.
-func (m *startingInstance) Meet(address string) {
+func (m *startingInstance) Discover(address string) {
 	go func() {
 		time.Sleep(peerRoundTrip)
 		m.fleet.mu.Lock()
@@ -284,7 +284,7 @@
 func (m *startingInstance) Recovered(prepaid.Recovered) {}
 
 // DrawerAvoided implements prepaid.Observer.
-func (m *startingInstance) Resting(string, time.Duration, error) {}
+func (m *startingInstance) DrawerAvoided(string, time.Duration, error) {}
 
 // serve runs an instance's requests and ticks until a time.
 func (m *startingInstance) serve(until time.Time) {
--- a/pkg/prepaid/merge.go
+++ b/pkg/prepaid/merge.go
@@ -11,7 +11,7 @@
 // have seen. Nothing is drawn from it until then.
 
 // BeginEra turns a shard that was copied from an older era's object into the shard of a new era.
-func (s *Shard) Begin(era uint64) {
+func (s *Shard) BeginEra(era uint64) {
 	s.Era, s.Unsettled, s.Reported = era, true, nil
 }
 
--- a/pkg/prepaid/named.go
+++ b/pkg/prepaid/named.go
@@ -27,7 +27,7 @@
 	candidates := n.Fleet.Drawers(shard)
 	// An instance that knows few others still sees from the holders in the object that there are
 	// many.
-	size := max(n.Fleet.Known(), len(s.Holders))
+	size := max(n.Fleet.NumKnown(), len(s.Holders))
 	if len(candidates) == 0 || size < minNamedFleet {
 		return nil // each may draw for itself
 	}
@@ -63,7 +63,7 @@
 	state := &n.shards[shard]
 	if state.discovering != drawer.Name {
 		state.discovering, state.discoveringSince = drawer.Name, n.Now()
-		n.Fleet.Meet(drawer.Address)
+		n.Fleet.Discover(drawer.Address)
 	}
 	return n.Now().Sub(state.discoveringSince) < discoveryTimeout
 }
@@ -108,11 +108,11 @@
 // nonCandidateInterval returns the minimum time between two writes that an instance which is not a
 // candidate makes for requests. It is random so that instances do not write in step; n.mu is held.
 func (n *Node) nonCandidateInterval() time.Duration {
-	interval := max(minNonCandidateInterval, time.Duration(n.Fleet.Known())*time.Second/nonCandidateWritesPerSecond)
+	interval := max(minNonCandidateInterval, time.Duration(n.Fleet.NumKnown())*time.Second/nonCandidateWritesPerSecond)
 	return interval/2 + rand.N(interval)
 }
 
 // ticksPerBackgroundWrite returns the mean number of ticks between two background writes.
 func (n *Node) ticksPerBackgroundWrite() int {
-	return max(minTicksPerBackgroundWrite, n.Fleet.Known()*ticksPerSecond/backgroundWritesPerSecond)
+	return max(minTicksPerBackgroundWrite, n.Fleet.NumKnown()*ticksPerSecond/backgroundWritesPerSecond)
 }
--- a/pkg/prepaid/node.go
+++ b/pkg/prepaid/node.go
@@ -67,16 +67,16 @@
 	// it is one of many that write to the ledger.
 	Joined() bool
 	// NumKnown returns how many instances are known, including this one and silent ones.
-	Known() int
+	NumKnown() int
 	// SharesBudgets reports whether the instance of that name still shares the budgets. One that
 	// may only be partitioned does; one that has been gone for long does not.
-	Counts(name string) bool
+	SharesBudgets(name string) bool
 	// Live returns the incarnation of the live instance of that name, or "" if there is none. known
 	// says whether an instance of that name is known, alive or not.
 	Live(name string) (incarnation string, known bool)
 	// Discover adds the instance at an address to the known ones if there is one. It does not
 	// block.
-	Meet(address string)
+	Discover(address string)
 	// Drawers returns the instances that may draw a shard's budgets for the region, the preferred
 	// one first. It includes this instance if it is a candidate, and is empty if each instance
 	// draws for itself.
@@ -95,7 +95,7 @@
 	// Borrowed reports tokens that a peer lent or a drawer dealt out.
 	Borrowed(budget, lender string, tokens int64)
 	// DrawerAvoided reports that a drawer is avoided for some time, and why.
-	Resting(drawer string, backoff time.Duration, cause error)
+	DrawerAvoided(drawer string, backoff time.Duration, cause error)
 	// Recovered reports what a write restored after a store rollback.
 	Recovered(Recovered)
 }
@@ -228,7 +228,7 @@
 func (e *ShortError) Unwrap() error { return e.Err }
 
 // ErrKeptForUrgent means that the rest of a budget is kept for urgent requests.
-var ErrKept = errors.New("the rest of the budget is kept for urgent requests")
+var ErrKeptForUrgent = errors.New("the rest of the budget is kept for urgent requests")
 
 // urgentDivisor: 1/urgentDivisor of the prepaid amount is kept for urgent requests. These are the
 // small ones, a fifth of the demand in tokens, and it lasts for some seconds of them. Without it
@@ -283,7 +283,7 @@
 // requests. Errors: *ShortError.
 func (n *Node) Reserve(ctx context.Context, budget string, tokens int64, urgent bool) (*Reservation, error) {
 	if !urgent && n.keptForUrgent(budget, tokens) {
-		return nil, &ShortError{Budget: budget, Need: tokens, Step: "ledger", Err: ErrKept}
+		return nil, &ShortError{Budget: budget, Need: tokens, Step: "ledger", Err: ErrKeptForUrgent}
 	}
 	if err := n.acquire(ctx, budget, tokens); err != nil {
 		return nil, err
--- a/pkg/prepaid/recall.go
+++ b/pkg/prepaid/recall.go
@@ -74,7 +74,7 @@
 )
 
 // HandleRecall returns the surplus of a budget that another instance found short.
-func (n *Node) Recalled(budget string) {
+func (n *Node) HandleRecall(budget string) {
 	n.mu.Lock()
 	p := n.position(budget)
 	p.scarce, p.depleted = true, true
--- a/pkg/prepaid/recovery.go
+++ b/pkg/prepaid/recovery.go
@@ -203,7 +203,7 @@
 		}
 		reserve := map[string]int64{}
 		for id, perSecond := range holder.PerSecond {
-			if n.Fleet.Counts(name) { // one that has been gone for long has not drawn lately
+			if n.Fleet.SharesBudgets(name) { // one that has been gone for long has not drawn lately
 				reserve[id] = int64(float64(perSecond) * unreportedDrawTime.Seconds())
 			}
 		}
@@ -386,7 +386,7 @@
 // NotePeerEra records that another instance has reported an era. This instance reports what it has
 // seen to each shard's drawer, which ignores it unless the store has shown it the same era, and
 // asks the store as well.
-func (n *Node) HeardEra(era uint64) {
+func (n *Node) NotePeerEra(era uint64) {
 	n.mu.Lock()
 	if era <= n.era || era <= n.peerEra {
 		n.mu.Unlock()
--- a/pkg/prepaid/recovery_test.go
+++ b/pkg/prepaid/recovery_test.go
@@ -78,7 +78,7 @@
 		m := h.member()
 		h.fleet.update(func() { m.storeCut = !m.storeCut })
 	case n < 11:
-		h.member().HeardEra(h.fleet.storeEra() + uint64(h.fleet.rng.IntN(2)))
+		h.member().NotePeerEra(h.fleet.storeEra() + uint64(h.fleet.rng.IntN(2)))
 	default:
 		h.history.step()
 	}
@@ -192,7 +192,7 @@
 					if n%2 == 0 {
 						m.noteStoreEra()
 					} else {
-						m.HeardEra(f.storeEra())
+						m.NotePeerEra(f.storeEra())
 					}
 				}
 				everyTick(2)
@@ -225,7 +225,7 @@
 		t.Fatal(err)
 	}
 	s.SetPrepaid(prepaid.Amounts{Version: 1, Tokens: map[string]int64{account: 1000}})
-	s.Begin(2)
+	s.BeginEra(2)
 	s.Apply("w", prepaid.Start{Era: 1}, map[string]prepaid.Transfer{account: {Known: prepaid.Counter{Drawn: 300}, Need: 500, More: 10, Ahead: 10, AheadDivisor: 1}})
 	if got := s.Budgets[account].Granted; got != 300 || s.Writers["w"].Counters[account].Drawn != 300 {
 		t.Errorf("granted %d: an unsettled shard restores 300 and draws nothing", got)
@@ -250,7 +250,7 @@
 		}
 		f.rollBack(1000)
 		f.update(func() { m.storeCut, f.drawers = true, []string{"i0"} })
-		m.HeardEra(f.storeEra())
+		m.NotePeerEra(f.storeEra())
 		time.Sleep(2 * ackDelay)
 		if free := m.Free(account); free != 0 {
 			t.Errorf("%d tokens are free from a draw that was not reported", free)
@@ -289,7 +289,7 @@
 		f.nodes[0].dead = true
 		f.nodes[1].noteStoreEra()
 		for _, m := range f.nodes[2:] {
-			m.HeardEra(f.storeEra())
+			m.NotePeerEra(f.storeEra())
 		}
 		for range 8 {
 			everyTick()
@@ -336,7 +336,7 @@
 		f.nodes[2].partitioned = true // alive, so nothing is settled without its report
 		f.nodes[0].noteStoreEra()
 		synctest.Wait()
-		f.nodes[1].HeardEra(f.storeEra())
+		f.nodes[1].NotePeerEra(f.storeEra())
 		synctest.Wait()
 		tick(f.nodes[0])
 		if _, _, s, _ := f.currentObject(); !s.Reported["i1"] || !s.Unsettled {
@@ -365,7 +365,7 @@
 		f.ackDelayChance = 1
 		f.nodes[0].noteStoreEra()
 		time.Sleep(ackDelay / 2)
-		f.nodes[1].HeardEra(f.storeEra())
+		f.nodes[1].NotePeerEra(f.storeEra())
 		time.Sleep(2 * ackDelay)
 		f.update(func() { f.ackDelayChance = 0 })
 		for range 3 {
@@ -406,7 +406,7 @@
 		f.update(func() { f.loseAnswers = true })
 		f.nodes[2].noteStoreEra() // reports to i1, which settles the object
 		waitSecond()
-		f.nodes[0].HeardEra(f.storeEra() + 1)
+		f.nodes[0].NotePeerEra(f.storeEra() + 1)
 		waitSecond()
 		f.update(func() { f.drawers, f.nodes[1].dead = []string{"i0"}, true })
 		f.update(func() { f.tries = 0 })
--- a/pkg/prepaid/refill.go
+++ b/pkg/prepaid/refill.go
@@ -236,7 +236,7 @@
 	if err != nil {
 		d.backoff = min(max(2*d.backoff, minDrawerBackoff), maxDrawerBackoff)
 		d.avoidedUntil = now.Add(d.backoff)
-		n.Observer.Resting(name, d.backoff, err)
+		n.Observer.DrawerAvoided(name, d.backoff, err)
 		return
 	}
 	d.backoff = 0
@@ -257,7 +257,7 @@
 // Otherwise they are avoided for up to maxDrawerBackoff more, and all instances write to the ledger
 // themselves: on four days of large fleets (63 to 81 instances) that made 8 to 18 % of the store
 // calls.
-func (n *Node) StoreBack() {
+func (n *Node) NoteStoreAvailable() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, d := range n.drawers {
--- a/pkg/prepaid/safety_test.go
+++ b/pkg/prepaid/safety_test.go
@@ -76,7 +76,7 @@
 	case n < 97:
 		h.fleet.applyLateWrites()
 	default:
-		h.member().Recalled(budgetName(rng.IntN(2)))
+		h.member().HandleRecall(budgetName(rng.IntN(2)))
 	}
 	synctest.Wait()
 }
--- a/pkg/prepaid/share_test.go
+++ b/pkg/prepaid/share_test.go
@@ -112,7 +112,7 @@
 		kept, urgent := 0, 0
 		for range all / large {
 			r, err := f.nodes[0].Reserve(t.Context(), account, large, false)
-			if errors.Is(err, prepaid.ErrKept) {
+			if errors.Is(err, prepaid.ErrKeptForUrgent) {
 				kept++
 				break
 			}
@@ -131,7 +131,7 @@
 		}
 		var short *prepaid.ShortError
 		_, err := f.nodes[0].Reserve(t.Context(), account, large, false)
-		if errors.Is(err, prepaid.ErrKept) || !errors.As(err, &short) {
+		if errors.Is(err, prepaid.ErrKeptForUrgent) || !errors.As(err, &short) {
 			t.Errorf("a request that exceeds the rest is refused with %v", err)
 		}
 	})
--- a/pkg/prepaid/witness_test.go
+++ b/pkg/prepaid/witness_test.go
@@ -37,7 +37,7 @@
 		switch {
 		case m.dead:
 		case m.storeCut:
-			m.HeardEra(f.storeEra())
+			m.NotePeerEra(f.storeEra())
 		default:
 			m.noteStoreEra()
 		}
@@ -139,7 +139,7 @@
 		f.nodes[8].noteStoreEra()
 		for _, m := range f.nodes {
 			if !m.dead {
-				m.HeardEra(f.storeEra())
+				m.NotePeerEra(f.storeEra())
 			}
 		}
 		for range 8 {
@@ -173,7 +173,7 @@
 		}
 		f.rollBack(1000)
 		f.nodes[0].noteStoreEra()
-		f.nodes[1].HeardEra(f.storeEra())
+		f.nodes[1].NotePeerEra(f.storeEra())
 		synctest.Wait()
 		f.tick()
 		row := &prepaidpb.SeenRow{Writer: "i2", Counters: []*prepaidpb.SeenCounter{{Budget: account, Drawn: 500}}}
--- a/pkg/prepaid/write.go
+++ b/pkg/prepaid/write.go
@@ -342,7 +342,7 @@
 	p := n.position(id)
 	drawn, returned := p.applyCounter(counter)
 	p.recordLedger(after.Budgets[id].Prepaid, after.Free(id), int(n.numSharers(shard)), n.Now())
-	p.elsewherePerSecond, p.heldElsewhere = after.demandElsewhere(n.Name, id, n.Fleet.Counts)
+	p.elsewherePerSecond, p.heldElsewhere = after.demandElsewhere(n.Name, id, n.Fleet.SharesBudgets)
 	if drawn == 0 && returned == 0 {
 		return
 	}
@@ -378,5 +378,5 @@
 	if n.drawsForOthers(shard) {
 		return int64(max(len(n.Fleet.OtherDrawers(shard))+1, 1))
 	}
-	return int64(max(n.Fleet.Known(), 1))
+	return int64(max(n.Fleet.NumKnown(), 1))
 }
--- a/pkg/quarantine/bound.go
+++ b/pkg/quarantine/bound.go
@@ -49,7 +49,7 @@
 		return !matches(e) || e.IsCondemned()
 	})
 	slices.SortFunc(candidates, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.InARow(), b.InARow()), a.LastCrash.Compare(b.LastCrash),
+		return cmp.Or(cmp.Compare(a.ConsecutiveCrashes(), b.ConsecutiveCrashes()), a.LastCrash.Compare(b.LastCrash),
 			slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	for _, e := range candidates[:min(len(candidates), evictionBatch)] {
--- a/pkg/quarantine/conclude.go
+++ b/pkg/quarantine/conclude.go
@@ -50,20 +50,20 @@
 func (r Run) Conclude(ctx context.Context, attempt Attempt, probe ProbeFunc, now func() time.Time) Conclusion {
 	switch attempt.Evidence {
 	case WholeAnswer:
-		return Conclusion{Cleared: r.Answered()}
+		return Conclusion{Cleared: r.NoteAnswer()}
 	case ConnectionEnded:
 		at := now()
 		suspected := r.NoteConnectionEnd(attempt.Origin, attempt.Upstream, at)
 		conclusion := r.probe(ctx, attempt, probe, at)
 		if suspected && conclusion.Crash == nil {
 			// Lets the other instances receive the record before this one retries the request.
-			pause.For(ctx, JudgeAfter)
+			pause.For(ctx, JudgeDelay)
 		}
 		return conclusion
 	case NoAnswer:
 		return r.probe(ctx, attempt, probe, now())
 	default:
-		r.Ended()
+		r.NoteEnd()
 		return Conclusion{}
 	}
 }
@@ -72,10 +72,10 @@
 // ends without consequences.
 func (r Run) probe(ctx context.Context, attempt Attempt, probe ProbeFunc, at time.Time) Conclusion {
 	if !probe() {
-		r.Ended()
+		r.NoteEnd()
 		return Conclusion{}
 	}
-	crash := r.Crashed(attempt.Origin, attempt.Upstream, at)
+	crash := r.NoteCrash(attempt.Origin, attempt.Upstream, at)
 	record := crash.Await(ctx)
 	return Conclusion{Crash: &record}
 }
--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -170,9 +170,9 @@
 			f.endUndetected(run, upstreamNamed(upstream))
 			continue
 		}
-		crash := run.Crashed(testOrigin, upstreamNamed(upstream), time.Now())
+		crash := run.NoteCrash(testOrigin, upstreamNamed(upstream), time.Now())
 		if !crash.IsFirst() {
-			time.Sleep(JudgeAfter)
+			time.Sleep(JudgeDelay)
 		}
 		crash.Judge()
 	}
@@ -195,7 +195,7 @@
 	observer := f.nodeAt(f.randomInt(len(f.nodes)))
 	detectionDelay := time.Millisecond * time.Duration(1+f.randomInt(int(maxDetectionDelay/time.Millisecond)))
 	time.AfterFunc(detectionDelay, func() {
-		observer.spreader.Table().Ended(upstream.Address, upstream.Incarnation, time.Now())
+		observer.spreader.Table().NoteGone(upstream.Address, upstream.Incarnation, time.Now())
 	})
 	run.Conclude(f.ctx, attempt, func() bool { return false }, time.Now)
 }
--- a/pkg/quarantine/hash_test.go
+++ b/pkg/quarantine/hash_test.go
@@ -34,17 +34,17 @@
 		switch random.IntN(5) {
 		case 0:
 			run.NoteConnectionEnd(Origin{}, upstream, now)
-			run.Ended()
+			run.NoteEnd()
 		case 1:
-			run.Answered()
+			run.NoteAnswer()
 		case 2:
-			run.Ended()
-			table.Answered(upstream.Address, upstream.Incarnation, now)
+			run.NoteEnd()
+			table.NoteAnswer(upstream.Address, upstream.Incarnation, now)
 		case 3:
-			run.Ended()
-			table.Ended(upstream.Address, upstream.Incarnation, now)
+			run.NoteEnd()
+			table.NoteGone(upstream.Address, upstream.Incarnation, now)
 		default:
-			run.Ended()
+			run.NoteEnd()
 			tables[0].Merge(tables[1].All(), now, true)
 			table.Expire(now)
 		}
--- a/pkg/quarantine/keeper/keeper.go
+++ b/pkg/quarantine/keeper/keeper.go
@@ -39,9 +39,9 @@
 	Deps
 	spreader *quarantine.Spreader
 	// storeRequests makes Run store the verdicts.
-	storeRequests *ring.Ring[struct{}]
+	storeRequests *ring.Queue[struct{}]
 	// lateCrashes holds crashes that were detected late and are still to be logged.
-	lateCrashes *ring.Ring[quarantine.Record]
+	lateCrashes *ring.Queue[quarantine.Record]
 	counters    counters
 }
 
@@ -109,7 +109,7 @@
 func (k *Keeper) logLateCrash(r *quarantine.Record) {
 	k.counters.lateCrashes.Inc(1)
 	k.Log.Event(eventlog.RequestSuspected, "", eventlog.Fields{
-		"fingerprint": r.Fingerprint.String(), "crashes": r.InARow(), "upstream": r.Upstream, "late": true,
+		"fingerprint": r.Fingerprint.String(), "crashes": r.ConsecutiveCrashes(), "upstream": r.Upstream, "late": true,
 		"condemned": r.StateAt(k.Self) == quarantine.Condemned,
 	})
 }
--- a/pkg/quarantine/keeper/view.go
+++ b/pkg/quarantine/keeper/view.go
@@ -44,7 +44,7 @@
 func (k *Keeper) List() []View {
 	views := []View{}
 	for _, r := range k.Table().All() {
-		if r.InARow()+r.NumUndecided() > 0 {
+		if r.ConsecutiveCrashes()+r.NumUndecided() > 0 {
 			views = append(views, k.view(&r))
 		}
 	}
@@ -63,7 +63,7 @@
 func (k *Keeper) view(r *quarantine.Record) View {
 	view := View{
 		ID: r.Fingerprint.String(), State: r.StateAt(k.Self), Account: r.Account, Route: r.Route,
-		Crashes: r.InARow(), Undecided: r.NumUndecided(), Upstream: r.Upstream, LastCrash: r.LastCrash,
+		Crashes: r.ConsecutiveCrashes(), Undecided: r.NumUndecided(), Upstream: r.Upstream, LastCrash: r.LastCrash,
 	}
 	for instance := range r.Crashes {
 		view.Instances = append(view.Instances, instance)
--- a/pkg/quarantine/recent_crashes.go
+++ b/pkg/quarantine/recent_crashes.go
@@ -6,7 +6,7 @@
 const (
 	// JudgeDelay is the time from a crash until it is judged. By then this instance has received
 	// the crashes that other instances saw at the same moment.
-	JudgeAfter = 80 * time.Millisecond
+	JudgeDelay = 80 * time.Millisecond
 	// recentCrashLifetime is how long a crash counts towards the frequency of crashes.
 	recentCrashLifetime = 10 * time.Second
 )
@@ -48,7 +48,7 @@
 // release.
 func (s recentCrashes) hasUnexplainedAt(own map[string]bool, at time.Time) bool {
 	for id, crash := range s {
-		if !own[id] && !crash.explained && crash.at.Sub(at).Abs() <= JudgeAfter {
+		if !own[id] && !crash.explained && crash.at.Sub(at).Abs() <= JudgeDelay {
 			return true
 		}
 	}
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -72,7 +72,7 @@
 }
 
 // ConsecutiveCrashes returns the number of crashes since the request was last cleared.
-func (r *Record) InARow() uint32 {
+func (r *Record) ConsecutiveCrashes() uint32 {
 	last := r.lastCrashOrdinal()
 	return last - min(last, r.Cleared)
 }
@@ -80,7 +80,7 @@
 // IsCondemned reports whether the request has reached CondemnAtMost, or some instance condemned it,
 // and it has not been cleared since.
 func (r *Record) IsCondemned() bool {
-	consecutive := r.InARow()
+	consecutive := r.ConsecutiveCrashes()
 	return consecutive >= CondemnAtMost || (consecutive > 0 && r.Verdict > r.Cleared)
 }
 
@@ -88,7 +88,7 @@
 // do not condemn it: a faulty instance could otherwise block requests in the whole fleet.
 func (r *Record) StateAt(instance string) State {
 	switch {
-	case r.InARow() == 0 && r.NumUndecided() <= 1: // a single ended connection does not indicate a crash
+	case r.ConsecutiveCrashes() == 0 && r.NumUndecided() <= 1: // a single ended connection does not indicate a crash
 		return Clear
 	case !r.IsCondemned():
 		return Suspected
@@ -160,4 +160,4 @@
 
 // isWatched reports whether the record has crashes or undecided endings, so that requests must be
 // fingerprinted to match it.
-func (r *Record) isWatched() bool { return r.InARow() > 0 || r.NumUndecided() > 0 }
+func (r *Record) isWatched() bool { return r.ConsecutiveCrashes() > 0 || r.NumUndecided() > 0 }
--- a/pkg/quarantine/spread.go
+++ b/pkg/quarantine/spread.go
@@ -46,9 +46,9 @@
 	onBadRecord func(from string, err error)
 	onLearned   func([]Record)
 
-	wakeups *ring.Ring[struct{}]
+	wakeups *ring.Queue[struct{}]
 	// differing holds the address of an instance whose table differs from this one's.
-	differing *ring.Ring[string]
+	differing *ring.Queue[string]
 	// compared reports that the table has been compared with another instance's, stored that it
 	// contains what the store has.
 	compared, stored atomic.Bool
@@ -107,7 +107,7 @@
 // push sends the pending records to some other instances. An instance that is not reached is left with
 // a differing table, which the comparison of hashes detects.
 func (s *Spreader) push(ctx context.Context) {
-	records := s.table.News()
+	records := s.table.TakePending()
 	if len(records) == 0 {
 		return
 	}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -258,13 +258,13 @@
 	if e.Started > e.Ended && now.Before(e.trialExpiry) {
 		return true
 	}
-	undecided, crashes := e.NumUndecided(), e.InARow()
+	undecided, crashes := e.NumUndecided(), e.ConsecutiveCrashes()
 	return undecided > 0 && (crashes > 0 || undecided >= CondemnAfter)
 }
 
 // NoteCrash records that the upstream crashed while running the request. The caller must call
 // Crash.Judge after JudgeDelay; until then, an equal request does not run if this one is suspected.
-func (r Run) Crashed(origin Origin, upstream Upstream, now time.Time) Crash {
+func (r Run) NoteCrash(origin Origin, upstream Upstream, now time.Time) Crash {
 	t := r.table
 	f := r.request.Fingerprint()
 	t.mu.Lock()
@@ -304,7 +304,7 @@
 // Await waits until the crash can be judged or ctx ends, and judges it.
 func (c *Crash) Await(ctx context.Context) Record {
 	if !c.IsFirst() {
-		pause.For(ctx, JudgeAfter)
+		pause.For(ctx, JudgeDelay)
 	}
 	return c.Judge()
 }
@@ -343,7 +343,7 @@
 // condemn condemns a request that has enough crashes, and calls onCondemned if it is condemned. t.mu must
 // be held.
 func (t *Table) condemn(e *entry, now time.Time) {
-	if e.InARow() >= CondemnAfter && t.hasEnoughIsolated(e, now) {
+	if e.ConsecutiveCrashes() >= CondemnAfter && t.hasEnoughIsolated(e, now) {
 		t.merge(&Record{Fingerprint: e.Fingerprint, Verdict: e.lastCrashOrdinal()}, now)
 	}
 	if e.StateAt(t.self) == Condemned {
@@ -359,7 +359,7 @@
 
 // NoteAnswer records that an upstream sent a complete answer: the request did not cause the crashes of
 // the others. It reports whether the request was suspected or condemned until then.
-func (r Run) Answered() bool {
+func (r Run) NoteAnswer() bool {
 	t := r.table
 	if !t.Watching() {
 		return false
@@ -381,7 +381,7 @@
 }
 
 // NoteEnd records that the run ended without evidence about the request.
-func (r Run) Ended() {
+func (r Run) NoteEnd() {
 	t := r.table
 	if r.trial == 0 {
 		return
@@ -486,12 +486,12 @@
 // t.mu must be held.
 func (t *Table) noteRemoteCrash(record *Record, now time.Time) {
 	if e := t.records[record.Fingerprint]; record.Upstream != "" && (e == nil || record.lastCrashOrdinal() > e.lastCrashOrdinal()) {
-		t.recent.note(record.Upstream, max(record.InARow(), 1)-1, now)
+		t.recent.note(record.Upstream, max(record.ConsecutiveCrashes(), 1)-1, now)
 	}
 }
 
 // TakePending removes and returns the records to be sent to the other instances.
-func (t *Table) News() []Record {
+func (t *Table) TakePending() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]Record, 0, len(t.pending))
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -44,7 +44,7 @@
 
 // endWithCrash ends a run with the crash of the n-th upstream.
 func endWithCrash(run Run, origin Origin, n int) {
-	c := run.Crashed(origin, upstreamNamed(fmt.Sprint("u", n)), startTime.Add(time.Duration(n)*time.Minute))
+	c := run.NoteCrash(origin, upstreamNamed(fmt.Sprint("u", n)), startTime.Add(time.Duration(n)*time.Minute))
 	c.Judge()
 }
 
@@ -60,7 +60,7 @@
 	if _, err := table.Begin(bodyRequest("fatal"), startTime); !errors.As(err, &refused) || !errors.Is(err, ErrCondemned) {
 		t.Errorf("got %v", err)
 	}
-	mustBegin(t, table, "another").Ended()
+	mustBegin(t, table, "another").NoteEnd()
 }
 
 // Guards against harmless requests that are condemned because a whole failure domain lost power while
@@ -74,7 +74,7 @@
 	for n, run := range runs {
 		endWithCrash(run, testOrigin, n)
 	}
-	if all := table.All(); len(all) != 1 || all[0].InARow() != 1 {
+	if all := table.All(); len(all) != 1 || all[0].ConsecutiveCrashes() != 1 {
 		t.Errorf("got %+v", all)
 	}
 }
@@ -84,7 +84,7 @@
 	table := NewTable("a", nil)
 	runAndCrash(t, table, "sound", 1)
 	runAndCrash(t, table, "sound", 2)
-	if !mustBegin(t, table, "sound").Answered() || table.Watching() {
+	if !mustBegin(t, table, "sound").NoteAnswer() || table.Watching() {
 		t.Errorf("still suspected: %+v", table.All())
 	}
 	runAndCrash(t, table, "sound", 3)
@@ -100,9 +100,9 @@
 	for n := range CondemnAtMost - 1 {
 		at := startTime.Add(time.Duration(n) * time.Minute)
 		repeated := mustBegin(t, table, "repeated")
-		other := mustBegin(t, table, fmt.Sprint("once ", n)).Crashed(testOrigin, upstreamNamed(fmt.Sprint("other ", n)), at.Add(-JudgeAfter/2))
+		other := mustBegin(t, table, fmt.Sprint("once ", n)).NoteCrash(testOrigin, upstreamNamed(fmt.Sprint("other ", n)), at.Add(-JudgeDelay/2))
 		other.Judge()
-		c := repeated.Crashed(testOrigin, upstreamNamed(fmt.Sprint("u", n)), at)
+		c := repeated.NoteCrash(testOrigin, upstreamNamed(fmt.Sprint("u", n)), at)
 		if record := c.Judge(); record.StateAt("a") == Condemned {
 			t.Fatalf("condemned after %d crashes", n+1)
 		}
@@ -118,7 +118,7 @@
 	table := NewTable("a", nil)
 	early := mustBegin(t, table, "sound")
 	runAndCrash(t, table, "sound", 1)
-	if !early.Answered() || table.Watching() {
+	if !early.NoteAnswer() || table.Watching() {
 		t.Error("still suspected")
 	}
 }
@@ -157,16 +157,16 @@
 func TestSuspectedRequestsRunOneAtATime(t *testing.T) {
 	a, b := NewTable("a", nil), NewTable("b", nil)
 	runAndCrash(t, a, "suspect", 1)
-	b.Merge(a.News(), startTime, false)
+	b.Merge(a.TakePending(), startTime, false)
 	trial := mustBegin(t, a, "suspect")
-	b.Merge(a.News(), startTime, false)
+	b.Merge(a.TakePending(), startTime, false)
 	if _, err := b.Begin(bodyRequest("suspect"), startTime); !errors.Is(err, ErrTrialRuns) {
 		t.Errorf("during a trial elsewhere: %v", err)
 	}
 	if _, err := b.Begin(bodyRequest("suspect"), startTime.Add(trialTimeout)); err != nil {
 		t.Errorf("after the timeout of a trial whose end was not received: %v", err)
 	}
-	trial.Ended()
+	trial.NoteEnd()
 	if _, err := a.Begin(bodyRequest("suspect"), startTime); err != nil {
 		t.Errorf("after the trial: %v", err)
 	}
@@ -181,8 +181,8 @@
 	if !b.Release(bodyRequest("fatal").Fingerprint()) || b.Release(bodyRequest("fatal").Fingerprint()) {
 		t.Error("Release must report true once, then false")
 	}
-	a.Merge(b.News(), startTime, true)
-	mustBegin(t, a, "fatal").Ended()
+	a.Merge(b.TakePending(), startTime, true)
+	mustBegin(t, a, "fatal").NoteEnd()
 	if a.Hash() != 0 || b.Hash() != 0 {
 		t.Error("the hash of a table without watched requests is not 0")
 	}
@@ -257,10 +257,10 @@
 func TestNothingIsHashedWhileNothingIsWatched(t *testing.T) {
 	table := NewTable("a", nil)
 	run, err := table.Begin(unhashableRequest{t}, startTime)
-	if err != nil || run.Answered() {
+	if err != nil || run.NoteAnswer() {
 		t.Errorf("got %v", err)
 	}
-	run.Ended()
+	run.NoteEnd()
 }
 
 func BenchmarkBeginWhileNothingIsWatched(b *testing.B) {
@@ -271,7 +271,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		run.Answered()
+		run.NoteAnswer()
 	}
 }
 
--- a/pkg/quarantine/undecided.go
+++ b/pkg/quarantine/undecided.go
@@ -40,7 +40,7 @@
 
 // HasUndecided reports whether any ending at an address is undecided. It takes no lock if there are no
 // undecided endings at all.
-func (t *Table) Undecided(address string) bool {
+func (t *Table) HasUndecided(address string) bool {
 	if t.numUndecidedAddresses.Load() == 0 {
 		return false
 	}
@@ -53,7 +53,7 @@
 // This decides the endings at the address before that time: those by the same incarnation were not
 // crashes, because its process is still running; those by other incarnations were, because their
 // processes are gone.
-func (t *Table) Answered(address, incarnation string, since time.Time) {
+func (t *Table) NoteAnswer(address, incarnation string, since time.Time) {
 	if t.numUndecidedAddresses.Load() == 0 || incarnation == "" {
 		return
 	}
@@ -64,7 +64,7 @@
 
 // NoteGone records that an incarnation was gone from an address at a time, without having announced that
 // it leaves.
-func (t *Table) Ended(address, incarnation string, at time.Time) {
+func (t *Table) NoteGone(address, incarnation string, at time.Time) {
 	if t.numUndecidedAddresses.Load() == 0 {
 		return
 	}
@@ -120,11 +120,11 @@
 	for _, requests := range t.undecided {
 		for f := range requests {
 			e := t.records[f]
-			if e == of || e.InARow() >= minExplainingCrashes {
+			if e == of || e.ConsecutiveCrashes() >= minExplainingCrashes {
 				continue
 			}
 			for key, known := range e.endings {
-				if known.isUndecided() && !of.crashedUpstreams[key.ID] && known.At.Sub(at).Abs() <= JudgeAfter {
+				if known.isUndecided() && !of.crashedUpstreams[key.ID] && known.At.Sub(at).Abs() <= JudgeDelay {
 					return true
 				}
 			}
--- a/pkg/quarantine/undecided_test.go
+++ b/pkg/quarantine/undecided_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("run %d: %v", n, err)
 	}
 	run.NoteConnectionEnd(testOrigin, u, startTime.Add(time.Duration(n)*time.Second))
-	run.Ended()
+	run.NoteEnd()
 }
 
 func upstreamProcess(n int) Upstream {
@@ -34,14 +34,14 @@
 		runUntilConnectionEnds(t, here, upstreamProcess(n), n)
 	}
 	there.Merge(here.All(), startTime, true)
-	if watchedState(here) == Condemned || !there.Undecided("at 0") {
+	if watchedState(here) == Condemned || !there.HasUndecided("at 0") {
 		t.Fatalf("before any observation, the state is %s", watchedState(here))
 	}
 	for n := range CondemnAfter {
-		there.Answered(upstreamProcess(n).Address, "a later process", startTime.Add(time.Minute))
+		there.NoteAnswer(upstreamProcess(n).Address, "a later process", startTime.Add(time.Minute))
 	}
 	here.Merge(there.All(), startTime, true)
-	if watchedState(here) != Condemned || here.Undecided("at 0") {
+	if watchedState(here) != Condemned || here.HasUndecided("at 0") {
 		t.Errorf("the state is %s", watchedState(here))
 	}
 }
@@ -66,11 +66,11 @@
 	for n := range 20 {
 		runUntilConnectionEnds(t, table, upstreamProcess(n), n)
 		at := startTime.Add(time.Duration(n) * time.Second)
-		table.Answered(upstreamProcess(n).Address, upstreamProcess(n).Incarnation, at.Add(-time.Millisecond))
-		if !table.Undecided(upstreamProcess(n).Address) {
+		table.NoteAnswer(upstreamProcess(n).Address, upstreamProcess(n).Incarnation, at.Add(-time.Millisecond))
+		if !table.HasUndecided(upstreamProcess(n).Address) {
 			t.Fatal("an answer to a request sent before the ending refuted it")
 		}
-		table.Answered(upstreamProcess(n).Address, upstreamProcess(n).Incarnation, at.Add(time.Millisecond))
+		table.NoteAnswer(upstreamProcess(n).Address, upstreamProcess(n).Incarnation, at.Add(time.Millisecond))
 	}
 	if watchedState(table) != Clear || table.Watching() {
 		t.Errorf("the state is %s", watchedState(table))
@@ -84,8 +84,8 @@
 	for n := range 2 {
 		runUntilConnectionEnds(t, table, upstreamProcess(0), n)
 	}
-	table.Answered(upstreamProcess(0).Address, "a later process", startTime.Add(time.Minute))
-	if all := table.All(); len(all) != 1 || all[0].InARow() != 1 {
+	table.NoteAnswer(upstreamProcess(0).Address, "a later process", startTime.Add(time.Minute))
+	if all := table.All(); len(all) != 1 || all[0].ConsecutiveCrashes() != 1 {
 		t.Errorf("got %+v", all)
 	}
 	if !table.HasCrashed(upstreamProcess(0).Address, upstreamProcess(0).Incarnation) {
@@ -101,14 +101,14 @@
 		runUntilConnectionEnds(t, a, upstreamProcess(n), n)
 	}
 	b.Merge(a.All(), startTime, true)
-	b.Answered(upstreamProcess(1).Address, "later", startTime.Add(time.Minute))
-	b.Answered(upstreamProcess(0).Address, "later", startTime.Add(time.Minute))
-	a.Answered(upstreamProcess(0).Address, "later", startTime.Add(time.Minute))
-	a.Answered(upstreamProcess(1).Address, "later", startTime.Add(time.Minute))
+	b.NoteAnswer(upstreamProcess(1).Address, "later", startTime.Add(time.Minute))
+	b.NoteAnswer(upstreamProcess(0).Address, "later", startTime.Add(time.Minute))
+	a.NoteAnswer(upstreamProcess(0).Address, "later", startTime.Add(time.Minute))
+	a.NoteAnswer(upstreamProcess(1).Address, "later", startTime.Add(time.Minute))
 	a.Merge(b.All(), startTime, true)
 	b.Merge(a.All(), startTime, true)
 	for _, table := range []*Table{a, b} {
-		if all := table.All(); all[0].InARow() != 2 {
+		if all := table.All(); all[0].ConsecutiveCrashes() != 2 {
 			t.Errorf("got %+v", all)
 		}
 	}
@@ -122,8 +122,8 @@
 func TestEndingAfterTheEntryWentIsNoCrash(t *testing.T) {
 	table := NewTable("a", nil)
 	runUntilConnectionEnds(t, table, upstreamProcess(0), 2)
-	table.Ended(upstreamProcess(0).Address, upstreamProcess(0).Incarnation, startTime.Add(time.Second))
-	if all := table.All(); all[0].InARow() != 0 {
+	table.NoteGone(upstreamProcess(0).Address, upstreamProcess(0).Incarnation, startTime.Add(time.Second))
+	if all := table.All(); all[0].ConsecutiveCrashes() != 0 {
 		t.Errorf("got %+v", all)
 	}
 }
@@ -133,7 +133,7 @@
 	table := NewTable("a", nil)
 	runUntilConnectionEnds(t, table, upstreamProcess(0), 0)
 	table.Expire(startTime.Add(endingLifetime + time.Second))
-	if table.Watching() || table.Hash() != 0 || table.Undecided(upstreamProcess(0).Address) {
+	if table.Watching() || table.Hash() != 0 || table.HasUndecided(upstreamProcess(0).Address) {
 		t.Error("the ending still counts")
 	}
 }
@@ -144,7 +144,7 @@
 	for n := range 10_000 {
 		run := mustBegin(t, table, fmt.Sprint("body ", n))
 		run.NoteConnectionEnd(testOrigin, upstreamProcess(n), startTime)
-		run.Ended()
+		run.NoteEnd()
 	}
 	if all := len(table.All()); all > maxRecordsPerAccount {
 		t.Errorf("%d records", all)
--- a/pkg/registry/emptied.go
+++ b/pkg/registry/emptied.go
@@ -100,7 +100,7 @@
 
 // AdvanceEmptiedTo records that every change of the emptied domains up to a position has been
 // applied.
-func (r *Registry) ReachedEmptied(position store.Position) {
+func (r *Registry) AdvanceEmptiedTo(position store.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.emptied.position = store.Later(r.emptied.position, position)
--- a/pkg/registry/entry.go
+++ b/pkg/registry/entry.go
@@ -28,7 +28,7 @@
 	// Written is the store position of the entry's last change.
 	Written store.Position `json:"-"`
 	// ColdDuration is how much longer the upstream counts as cold after its start.
-	SlowFor time.Duration `json:"slow_for"`
+	ColdDuration time.Duration `json:"slow_for"`
 }
 
 // Incarnation identifies the upstream's process among all that have used the same ID.
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -59,7 +59,7 @@
 }
 
 // OutageStarted records that the store is unreachable for all instances.
-func (r *Registry) StoreOut() {
+func (r *Registry) OutageStarted() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeOut = true
@@ -255,7 +255,7 @@
 }
 
 // AdvanceTo records that every change up to a position has been applied.
-func (r *Registry) Reached(position store.Position) {
+func (r *Registry) AdvanceTo(position store.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.position = store.Later(r.position, position)
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -35,7 +35,7 @@
 // after the outage is removed.
 func TestLapsedEntriesAreKeptUntilTheyCanBeBack(t *testing.T) {
 	r, c := newTestRegistry()
-	r.StoreOut()
+	r.OutageStarted()
 	c.advance(5 * time.Second)
 	r.Replace(nil, store.At(9))
 	r.OutageEnded(0)
@@ -57,7 +57,7 @@
 func TestOlderListBringsNothingBack(t *testing.T) {
 	r, _ := newTestRegistry()
 	r.Remove("a")
-	r.Reached(store.At(8))
+	r.AdvanceTo(store.At(8))
 	r.Replace([]Upstream{{ID: "a", Service: "s", Address: "1"}}, store.At(6))
 	for _, u := range r.InService("s") {
 		if u.ID == "a" {
--- a/pkg/retrylimit/limit.go
+++ b/pkg/retrylimit/limit.go
@@ -64,7 +64,7 @@
 
 // CountFirst counts the first attempt of an account's request. The account is empty if the request needs
 // none.
-func (l *Limit) First(account string) {
+func (l *Limit) CountFirst(account string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance()
@@ -73,7 +73,7 @@
 }
 
 // TryRetry reports whether a request of an account may be retried, and counts the retry if so.
-func (l *Limit) TryRepeat(account string) bool {
+func (l *Limit) TryRetry(account string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance()
--- a/pkg/retrylimit/limit_test.go
+++ b/pkg/retrylimit/limit_test.go
@@ -27,11 +27,11 @@
 	for range 6000 {
 		now = now.Add(time.Duration(rng.IntN(20)) * time.Millisecond)
 		limit := limits[min(rng.IntN(instances), rng.IntN(instances))]
-		limit.First("")
+		limit.CountFirst("")
 		requests = append(requests, sample{now, 1})
 		sent := 0
 		for range 3 {
-			if limit.TryRepeat("") {
+			if limit.TryRetry("") {
 				sent++
 			}
 		}
@@ -56,11 +56,11 @@
 	now := time.Unix(0, 0)
 	limit := New(Settings{Ratio: 0.2, Extra: 24, Window: time.Second}, func() int { return 1 }, func() time.Time { return now })
 	used := 0
-	for limit.TryRepeat("") {
+	for limit.TryRetry("") {
 		used++
 	}
 	now = now.Add(1100 * time.Millisecond)
-	if used == 0 || !limit.TryRepeat("") {
+	if used == 0 || !limit.TryRetry("") {
 		t.Errorf("%d retries were allowed at first, none after the window", used)
 	}
 }
@@ -78,13 +78,13 @@
 		if rng.IntN(10) < 3 {
 			account = abuser
 		}
-		limit.First(account)
+		limit.CountFirst(account)
 		switch {
 		case account == abuser:
-			limit.TryRepeat(account)
+			limit.TryRetry(account)
 		case rng.IntN(50) == 0:
 			failed++
-			if !limit.TryRepeat(account) {
+			if !limit.TryRetry(account) {
 				refused++
 			}
 		}
@@ -100,8 +100,8 @@
 	limit := New(Settings{Ratio: 0.2, Extra: 0, Window: 10 * time.Second}, func() int { return 9 }, func() time.Time { return now })
 	retries := 0
 	for range 1000 {
-		limit.First("only")
-		if limit.TryRepeat("only") {
+		limit.CountFirst("only")
+		if limit.TryRetry("only") {
 			retries++
 		}
 	}
--- a/pkg/ring/ring.go
+++ b/pkg/ring/ring.go
@@ -4,17 +4,17 @@
 
 // Queue is a bounded first-in, first-out queue. A full queue rejects items, so that
 // the writer learns immediately that the reader is behind and memory stays bounded.
-type Ring[T any] struct {
+type Queue[T any] struct {
 	items chan T
 }
 
 // New returns a queue with the given capacity in items, which must be positive.
-func New[T any](capacity int) *Ring[T] {
-	return &Ring[T]{items: make(chan T, capacity)}
+func New[T any](capacity int) *Queue[T] {
+	return &Queue[T]{items: make(chan T, capacity)}
 }
 
 // TryPut adds an item if there is room for it and reports whether it did.
-func (r *Ring[T]) TryPut(item T) bool {
+func (r *Queue[T]) TryPut(item T) bool {
 	select {
 	case r.items <- item:
 		return true
@@ -24,4 +24,4 @@
 }
 
 // Items returns the channel from which the reader receives items.
-func (r *Ring[T]) Items() <-chan T { return r.items }
+func (r *Queue[T]) Items() <-chan T { return r.items }
--- a/pkg/router/admin.go
+++ b/pkg/router/admin.go
@@ -47,7 +47,7 @@
 	if table := r.config.Table(); table != nil {
 		gauge("config.version", int64(table.Config.Version))
 	}
-	for name, value := range r.platform.StoreCalls(r.store) {
+	for name, value := range r.platform.CountStoreCalls(r.store) {
 		gauge("store."+name, value)
 	}
 	for name, age := range r.copyAges() {
--- a/pkg/router/background.go
+++ b/pkg/router/background.go
@@ -118,10 +118,10 @@
 // upstreamsChanged passes the registry's upstreams on to the pools.
 func (r *Router) upstreamsChanged() {
 	for _, address := range r.registry.TakeRestarted() {
-		r.conns.Forget(address)
+		r.conns.CloseIdle(address)
 	}
 	for _, before := range r.registry.TakeSuperseded() {
-		r.quarantine.Table().Ended(before.Address, before.Incarnation, before.Gone)
+		r.quarantine.Table().NoteGone(before.Address, before.Incarnation, before.Gone)
 	}
 	r.forward.Update()
 	r.logUpstreamsLeft()
@@ -148,14 +148,14 @@
 	r.coldLimit.Observe()
 	r.conns.CloseExpired()
 	for name, follower := range r.followers {
-		r.ageMonitor.Look(name, follower)
+		r.ageMonitor.Check(name, follower)
 	}
 	if r.registry.ExpireEmptied() {
 		r.domainsChanged()
 	}
 	if gone := r.registry.Expire(); len(gone) > 0 {
 		for _, address := range gone {
-			r.conns.Forget(address)
+			r.conns.CloseIdle(address)
 		}
 		r.forward.Update()
 		r.logUpstreamsLeft()
@@ -165,7 +165,7 @@
 // logStatus logs counters, so that the log alone shows how a process has fared.
 func (r *Router) logStatus(context.Context) {
 	fields := eventlog.Fields{"active": r.clientServer.NumActive(), "members": r.table.CountLive()}
-	for name, value := range r.platform.StoreCalls(r.store) {
+	for name, value := range r.platform.CountStoreCalls(r.store) {
 		fields["store_"+name] = value
 	}
 	for name, age := range r.copyAges() {
@@ -194,13 +194,13 @@
 	}
 }
 
-func (r *Router) logMemberChanges(context.Context) { r.memberLogger.Look(r.table, r.log) }
+func (r *Router) logMemberChanges(context.Context) { r.memberLogger.LogChanges(r.table, r.log) }
 
 // stop shuts the instance down within the grace period.
 func (r *Router) stop() {
 	began := time.Now()
 	r.lifecycle.Stop()
-	deadline := began.Add(r.settings.Grace() - tokenReturnTimeout)
+	deadline := began.Add(r.settings.GracePeriod() - tokenReturnTimeout)
 	r.forward.StopBy(deadline)
 	r.clientServer.Drain()
 	r.table.MarkLeaving()
--- a/pkg/router/era.go
+++ b/pkg/router/era.go
@@ -15,9 +15,9 @@
 const eraTimeout = time.Second
 
 // noteEra handles a new era, or a fault in the era, that an answer of the store carried.
-func (r *Router) noteEra(change store.EraNews) {
-	if change.Fault != nil {
-		r.log.Event(eventlog.StoreEraFault, "", eventlog.Fields{"era": change.To, "cause": change.Fault.Error()})
+func (r *Router) noteEra(change store.EraEvent) {
+	if change.Err != nil {
+		r.log.Event(eventlog.StoreEraFault, "", eventlog.Fields{"era": change.To, "cause": change.Err.Error()})
 		return
 	}
 	r.storeEra.Store(uint64(change.To))
@@ -28,7 +28,7 @@
 		return // the first era that this process sees
 	}
 	r.log.Event(eventlog.StoreWentBack, "", eventlog.Fields{"from": change.From, "era": change.To})
-	r.discovery.StoreWentBack()
+	r.discovery.NoteStoreRestored()
 	r.tokens.NoteEra(uint64(change.To))
 	r.quarantine.StoreAgain()
 }
--- a/pkg/router/followers.go
+++ b/pkg/router/followers.go
@@ -28,25 +28,25 @@
 	reject := func(err error) {
 		r.log.Event(eventlog.ConfigRejected, "", eventlog.Fields{"cause": err.Error()})
 	}
-	config := r.platform.Config(r.store, r.applyConfig, reject)
-	upstreams := r.platform.Upstreams(r.store, r.registry, r.upstreamsChanged, reject)
+	config := r.platform.NewConfigFollower(r.store, r.applyConfig, reject)
+	upstreams := r.platform.NewUpstreamFollower(r.store, r.registry, r.upstreamsChanged, reject)
 	upstreams.OutageEnded = r.registry.OutageEnded
-	emptied := r.platform.Emptied(r.store, r.registry, r.domainsChanged)
+	emptied := r.platform.NewEmptiedFollower(r.store, r.registry, r.domainsChanged)
 	if bound := r.settings.EmptyingBound(); bound > r.settings.ChangeBound() {
-		emptied.Timing = follow.TimingWithin(bound)
+		emptied.Timing = follow.RelaxedTimingFor(bound)
 	}
 	r.followers = map[string]*follow.Follower{copyRouting: config, copyUpstreams: upstreams, copyEmptied: emptied}
 	for name, follower := range r.followers {
 		r.setCallbacks(name, follower)
 	}
-	r.ageMonitor = follow.Alarm{Tell: r.reportCopyAge}
+	r.ageMonitor = follow.AgeMonitor{Report: r.reportCopyAge}
 	r.publisher = follow.NewPublisher(r.incarnation, r.followers, copyPeers{r}, follow.TimingFor(r.settings.ChangeBound()))
 }
 
 // setCallbacks connects a follower to the log and to the rest of the instance.
 func (r *Router) setCallbacks(name string, follower *follow.Follower) {
-	follower.Lost = func(err error) { r.handleCallFailed(name, err) }
-	follower.Found = func(outage bool) {
+	follower.CallFailed = func(err error) { r.handleCallFailed(name, err) }
+	follower.StoreRecovered = func(outage bool) {
 		// It also counts if another instance reports that the store answers it: this
 		// instance gets what it needs of the store through the others.
 		r.recordStoreResult(nil)
@@ -58,9 +58,9 @@
 			r.registry.StoreReached()
 		}
 	}
-	follower.Obtain = func(ctx context.Context) bool { return r.fetchInitialCopy(ctx, name) }
-	follower.EraReached = func(era store.Era) { r.tokens.HeardEra(uint64(era)) }
-	follower.Renewed = func(reason follow.Reason, waited time.Duration) {
+	follower.FetchInitial = func(ctx context.Context) bool { return r.fetchInitialCopy(ctx, name) }
+	follower.EraReached = func(era store.Era) { r.tokens.NotePeerEra(uint64(era)) }
+	follower.WatchStarted = func(reason follow.Reason, waited time.Duration) {
 		r.log.Event(eventlog.WatchRenewed, "", eventlog.Fields{
 			"copy": name, "reason": reason, "waited_ms": waited.Milliseconds(),
 		})
@@ -71,10 +71,10 @@
 // all copies.
 func (r *Router) handleCallFailed(name string, err error) {
 	r.logWatchFailed(name, err)
-	if name == copyUpstreams && !r.followers[name].ConfirmedLately() {
-		r.registry.StoreOut()
+	if name == copyUpstreams && !r.followers[name].ConfirmedRecently() {
+		r.registry.OutageStarted()
 	}
-	r.publisher.AskAround(r.backgroundCtx)
+	r.publisher.QueryRandomPeer(r.backgroundCtx)
 }
 
 // How a starting instance fetches its first copies.
@@ -133,7 +133,7 @@
 // copyCandidates returns the addresses of up to numInitialFetchPeers other instances that may have copies.
 func (r *Router) copyCandidates() []string {
 	addresses := copyPeers{r}.Addresses()
-	for _, seed := range r.discovery.UnmetSeeds() {
+	for _, seed := range r.discovery.UnknownSeeds() {
 		if !slices.Contains(addresses, seed) {
 			addresses = append(addresses, seed)
 		}
@@ -180,9 +180,9 @@
 
 // Confirm implements the copies service.
 func (r *Router) Confirm(_ context.Context, confirmation *followpb.Confirmation) (*followpb.ConfirmReply, error) {
-	r.table.Heard(confirmation.From)
-	r.tokens.HeardEra(latestEra(confirmation))
-	r.publisher.Take(confirmation)
+	r.table.MarkHeard(confirmation.From)
+	r.tokens.NotePeerEra(latestEra(confirmation))
+	r.publisher.HandleConfirmation(confirmation)
 	return &followpb.ConfirmReply{}, nil
 }
 
@@ -197,7 +197,7 @@
 
 // FetchChanges implements the copies service.
 func (r *Router) FetchChanges(_ context.Context, request *followpb.FetchRequest) (*followpb.FetchReply, error) {
-	return r.publisher.HandOn(request)
+	return r.publisher.HandleFetch(request)
 }
 
 func (r *Router) logWatchFailed(name string, err error) {
@@ -209,11 +209,11 @@
 }
 
 func (r *Router) reportCopyAge(report follow.AgeReport) {
-	if report.Old {
+	if report.Stale {
 		metrics.GetOrRegisterCounter("copies.old", r.metrics).Inc(1)
 	}
 	r.log.Event(eventlog.CopyOld, "", eventlog.Fields{
-		"copy": report.Copy, "old": report.Old, "age_ms": report.Age.Milliseconds(), "store_answers": report.StoreAnswers,
+		"copy": report.Copy, "old": report.Stale, "age_ms": report.Age.Milliseconds(), "store_answers": report.StoreAnswers,
 	})
 }
 
--- a/pkg/router/ledger.go
+++ b/pkg/router/ledger.go
@@ -79,7 +79,7 @@
 		return err
 	}
 	if era := cache.object.Position.Era; era > store.FirstEra && state.Era != uint64(era) {
-		state.Begin(uint64(era))
+		state.BeginEra(uint64(era))
 	}
 	if err := change(state); err != nil {
 		return err
--- a/pkg/router/members.go
+++ b/pkg/router/members.go
@@ -15,8 +15,8 @@
 			Service:         service,
 			TokensPerSecond: stats.TokensPerSecond,
 			Answers:         stats.Answers,
-			AllTokens:       stats.All,
-			LongTokens:      stats.Long,
+			AllTokens:       stats.TotalTokens,
+			LongTokens:      stats.LongTokens,
 		})
 	}
 	return out
@@ -25,11 +25,11 @@
 // recordPrefillStats records what another instance has measured.
 func (r *Router) recordPrefillStats(from string, readings []*memberpb.Reading) {
 	for _, m := range readings {
-		r.forward.RecordPeerStats(from, m.Service, placement.Reading{
+		r.forward.RecordPeerStats(from, m.Service, placement.PrefillStats{
 			TokensPerSecond: m.TokensPerSecond,
 			Answers:         m.Answers,
-			All:             m.AllTokens,
-			Long:            m.LongTokens,
+			TotalTokens:     m.AllTokens,
+			LongTokens:      m.LongTokens,
 		})
 	}
 }
@@ -42,7 +42,7 @@
 
 // Probe implements the members service.
 func (r *Router) Probe(ctx context.Context, req *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
-	return &memberpb.ProbeReply{Answered: r.gossip.Answers(ctx, req.Incarnation, req.Address)}, nil
+	return &memberpb.ProbeReply{Answered: r.gossip.IsReachable(ctx, req.Incarnation, req.Address)}, nil
 }
 
 // FetchConfig implements the members service. It returns no configuration: copies of the store are
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -50,15 +50,15 @@
 	NewStore func(address string, listener store.Listener) store.Watcher
 	// NewConfigFollower and NewUpstreamFollower return followers of the configuration and of
 	// the upstreams.
-	Config    func(s store.Watcher, take func(*routing.Config), reject func(error)) *follow.Follower
-	Upstreams func(s store.Watcher, r *registry.Registry, changed func(), reject func(error)) *follow.Follower
+	NewConfigFollower   func(s store.Watcher, take func(*routing.Config), reject func(error)) *follow.Follower
+	NewUpstreamFollower func(s store.Watcher, r *registry.Registry, changed func(), reject func(error)) *follow.Follower
 	// NewEmptiedFollower returns a follower of the emptied failure domains.
-	Emptied func(s store.Watcher, r *registry.Registry, changed func()) *follow.Follower
+	NewEmptiedFollower func(s store.Watcher, r *registry.Registry, changed func()) *follow.Follower
 	// CountStoreCalls returns how many calls a store client has made, by kind.
-	StoreCalls func(s store.Watcher) map[string]int64
-	Codec      forward.Codec
-	Format     door.Format
-	ReadyPath  string
+	CountStoreCalls func(s store.Watcher) map[string]int64
+	Codec           forward.Codec
+	Format          door.Format
+	ReadyPath       string
 }
 
 // Router is one running instance.
@@ -68,7 +68,7 @@
 	incarnation string
 	log         *eventlog.Log
 	metrics     metrics.Registry
-	lifecycle   *life.Life
+	lifecycle   *life.Lifecycle
 
 	store    store.Watcher
 	config   routing.State
@@ -92,7 +92,7 @@
 	adminServer  *httpserve.Server
 	peerServer   *peer.Server
 
-	storeMonitor *life.StoreTie
+	storeMonitor *life.StoreMonitor
 	// storeEra is the latest era that answers of the store have carried.
 	storeEra atomic.Uint64
 	// eraSeenMillis is when this process first saw that era, in Unix milliseconds.
@@ -102,11 +102,11 @@
 	followers map[string]*follow.Follower
 	publisher *follow.Publisher
 	// ageMonitor is used by one background task only.
-	ageMonitor follow.Alarm
+	ageMonitor follow.AgeMonitor
 	// discovery finds the other instances.
-	discovery *meeting.Meeting
+	discovery *meeting.Discovery
 
-	memberLogger member.Notes
+	memberLogger member.ChangeLogger
 
 	// synced is closed once the instance has a configuration and the upstreams.
 	synced chan struct{}
@@ -131,8 +131,8 @@
 	}
 	r.backgroundCtx, r.cancelBackground = context.WithCancel(context.Background())
 	r.lifecycle = life.New(r.log)
-	r.storeMonitor = life.NewStoreTie(r.log)
-	r.store = p.NewStore(s.StoreAddress, store.Listener{State: r.recordStoreResult, Era: r.noteEra})
+	r.storeMonitor = life.NewStoreMonitor(r.log)
+	r.store = p.NewStore(s.StoreAddress, store.Listener{OnCall: r.recordStoreResult, OnEra: r.noteEra})
 	r.provisionFleet()
 	r.provisionForward()
 	r.provisionFollowers()
@@ -146,8 +146,8 @@
 
 // recordStoreResult records whether the store answered a call.
 func (r *Router) recordStoreResult(err error) {
-	if r.storeMonitor.Note(err) {
-		r.tokens.StoreBack()
+	if r.storeMonitor.Record(err) {
+		r.tokens.NoteStoreAvailable()
 	}
 }
 
@@ -163,7 +163,7 @@
 		},
 		Now: time.Now,
 	})
-	r.peers = peer.NewClient(r.table.Address, r.table.Heard, &r.traffic, nil)
+	r.peers = peer.NewClient(r.table.Address, r.table.MarkHeard, &r.traffic, nil)
 	r.quarantine = keeper.New(keeper.Deps{
 		Self:     s.Name,
 		Members:  r.table,
@@ -174,13 +174,13 @@
 		Now:      time.Now,
 	})
 	r.gossip = &member.Gossip{
-		Table:    r.table,
-		Send:     r.peers.Heartbeat,
-		Probe:    r.peers.Probe,
-		Readings: r.prefillStats,
-		Learned:  r.recordPrefillStats,
-		Era:      r.storeEra.Load,
-		HeardEra: func(era uint64) { r.tokens.HeardEra(era) },
+		Table:      r.table,
+		Send:       r.peers.Heartbeat,
+		Probe:      r.peers.Probe,
+		Readings:   r.prefillStats,
+		OnReadings: r.recordPrefillStats,
+		Era:        r.storeEra.Load,
+		OnEra:      func(era uint64) { r.tokens.NotePeerEra(era) },
 
 		Quarantine: r.quarantine,
 	}
@@ -223,7 +223,7 @@
 		ColdOverage: r.settings.ColdOverage,
 		ColdSlack:   r.settings.ColdSlack,
 
-		PeerProber: httpconn.NewLookout(r.conns, time.Now),
+		PeerProber: httpconn.NewPeerProber(r.conns, time.Now),
 		Quarantine: r.quarantine.Table(),
 		Retries: retrylimit.Settings{
 			Ratio:  r.settings.RetryRatio,
@@ -232,13 +232,13 @@
 		},
 		NumInstances:   r.table.CountLive,
 		Synced:         r.synced,
-		StoreAvailable: r.storeMonitor.Up,
+		StoreAvailable: r.storeMonitor.Available,
 		Now:            time.Now,
 	})
 }
 
 // discoverAt makes the instance at an address known.
-func (r *Router) discoverAt(address string) { r.discovery.MeetAt(r.backgroundCtx, address) }
+func (r *Router) discoverAt(address string) { r.discovery.DiscoverAt(r.backgroundCtx, address) }
 
 // liveNames returns the names of all live instances.
 func (r *Router) liveNames() []string {
--- a/pkg/router/tokens.go
+++ b/pkg/router/tokens.go
@@ -32,7 +32,7 @@
 	reply, err := l.client.Refill(ctx, to, req)
 	if err == nil && reply.Successor != "" {
 		// In a large fleet, heartbeats would report the successor only seconds later.
-		l.table.Succeeded(to, reply.Successor)
+		l.table.LearnSuccessor(to, reply.Successor)
 	}
 	return reply, err
 }
@@ -74,13 +74,15 @@
 	return others
 }
 
-func (v fleetView) Known() int { return v.table.Count() }
+func (v fleetView) NumKnown() int { return v.table.Count() }
 
 // Live implements prepaid.Fleet.
-func (v fleetView) Live(name string) (incarnation string, known bool) { return v.table.LiveNamed(name) }
+func (v fleetView) Live(name string) (incarnation string, known bool) {
+	return v.table.LiveByName(name)
+}
 
 // Discover implements prepaid.Fleet.
-func (v fleetView) Meet(address string) { go v.discover(address) }
+func (v fleetView) Discover(address string) { go v.discover(address) }
 
 // maxShareSilence is how long a silent instance still counts among those that share budgets.
 // It is longer than any network partition between all instances that the fleet must survive: at the
@@ -88,7 +90,7 @@
 const maxShareSilence = 15 * time.Second
 
 // SharesBudgets implements prepaid.Fleet.
-func (v fleetView) Counts(name string) bool {
+func (v fleetView) SharesBudgets(name string) bool {
 	return !v.Joined() || v.table.HeardWithin(name, maxShareSilence)
 }
 
@@ -121,7 +123,7 @@
 
 // OtherDrawers implements prepaid.Fleet.
 func (v fleetView) OtherDrawers(shard int) []string {
-	return incarnations(v.table.WinnersElsewhere(shardKey(shard)))
+	return incarnations(v.table.WinnersInOtherRegions(shardKey(shard)))
 }
 
 // Witnesses implements prepaid.Fleet: the highest-ranked instance of each other failure domain, then
@@ -165,7 +167,7 @@
 	o.log.Event(eventlog.TokensBorrowed, "", eventlog.Fields{"budget": budget, "lender": lender, "tokens": tokens})
 }
 
-func (o tokenLog) Resting(drawer string, rest time.Duration, cause error) {
+func (o tokenLog) DrawerAvoided(drawer string, rest time.Duration, cause error) {
 	o.log.Event(eventlog.DrawerResting, "", eventlog.Fields{
 		"peer": drawer, "rest_ms": rest.Milliseconds(), "cause": cause.Error(),
 	})
@@ -201,7 +203,7 @@
 }
 
 func (l tokenService) Recall(_ context.Context, req *prepaidpb.RecallRequest) (*prepaidpb.RecallReply, error) {
-	l.node.Recalled(req.Budget)
+	l.node.HandleRecall(req.Budget)
 	return &prepaidpb.RecallReply{}, nil
 }
 
--- a/pkg/routing/config.go
+++ b/pkg/routing/config.go
@@ -28,7 +28,7 @@
 	Accounts []Account `json:"accounts"`
 	// KeyRequired reports whether requests need the key of an account, except on public
 	// routes.
-	Keyed bool `json:"keyed"`
+	KeyRequired bool `json:"keyed"`
 }
 
 // Route directs the requests for a host and path prefix to services.
@@ -43,7 +43,7 @@
 	// Objective is the target for the time to the answer: later answers count as late.
 	Objective time.Duration `json:"objective"`
 	// MaxPause is the longest pause between two events of a stream that counts as on time.
-	Pause time.Duration `json:"pause"`
+	MaxPause time.Duration `json:"pause"`
 	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int `json:"max_attempts"`
 	// Priority is the priority of requests; 0 is the most urgent.
@@ -79,7 +79,7 @@
 	// survives while it is cold, that is, has just started; 0 for no bound. ColdDuration is how long it
 	// is cold.
 	ColdPerSecond float64       `json:"cold_per_second,omitempty"`
-	ColdFor       time.Duration `json:"cold_for,omitempty"`
+	ColdDuration  time.Duration `json:"cold_for,omitempty"`
 }
 
 // Engine describes the model engines of a service.
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -102,7 +102,7 @@
 // SelectService returns the name of the service for the request with the id, or "" if the
 // route has none. Within one version of the configuration it depends on the id alone, so that
 // all attempts of a request go to the same service.
-func (r *Route) Target(id string) string {
+func (r *Route) SelectService(id string) string {
 	total := 0
 	for _, target := range r.Targets {
 		total += target.Weight
--- a/pkg/routing/table_test.go
+++ b/pkg/routing/table_test.go
@@ -8,8 +8,8 @@
 
 func testConfig(version uint64) *Config {
 	return &Config{
-		Version: version,
-		Keyed:   true,
+		Version:     version,
+		KeyRequired: true,
 		Routes: []Route{
 			{Name: "all", Host: "h.example", Prefix: "/", Targets: []Target{{Service: "s", Weight: 1}}},
 			{Name: "jobs", Host: "h.example", Prefix: "/jobs/", Targets: []Target{{Service: "t", Weight: 90}, {Service: "u", Weight: 10}}},
@@ -46,8 +46,8 @@
 	route := NewTable(testConfig(1), time.Time{}).Route("h.example", "/jobs/7")
 	counts := map[string]int{}
 	for n := range 10_000 {
-		first := route.Target(fmt.Sprint(n))
-		if again := route.Target(fmt.Sprint(n)); again != first {
+		first := route.SelectService(fmt.Sprint(n))
+		if again := route.SelectService(fmt.Sprint(n)); again != first {
 			t.Fatalf("attempts of one request go to services %s and %s", first, again)
 		}
 		counts[first]++
--- a/pkg/settings/router.go
+++ b/pkg/settings/router.go
@@ -123,7 +123,7 @@
 }
 
 // GracePeriod returns the time between the signal to stop and the kill of the process.
-func (r *Router) Grace() time.Duration { return seconds(r.GraceSeconds) }
+func (r *Router) GracePeriod() time.Duration { return seconds(r.GraceSeconds) }
 
 // ChangeBound returns the shorter of LeavingBoundMS and ConfigBoundMS, within which every change of
 // the configuration or the upstreams must be in force.
--- a/pkg/settings/router_test.go
+++ b/pkg/settings/router_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.LedgerShards != 4 || r.Grace().Seconds() != 8 {
+	if r.LedgerShards != 4 || r.GracePeriod().Seconds() != 8 {
 		t.Errorf("settings with defaults: %+v", r)
 	}
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -226,7 +226,7 @@
 }
 
 // CallerReadTimeout returns the timeout for reading one caller's request.
-func (s *Settings) CallerRead() time.Duration {
+func (s *Settings) CallerReadTimeout() time.Duration {
 	return time.Duration(s.CallerReadMillis) * time.Millisecond
 }
 
@@ -236,11 +236,11 @@
 }
 
 // HeartbeatInterval returns the time between heartbeats to a peer.
-func (s *Settings) Heartbeat() time.Duration {
+func (s *Settings) HeartbeatInterval() time.Duration {
 	return time.Duration(s.HeartbeatMillis) * time.Millisecond
 }
 
 // PeerSilenceTimeout returns how long a peer may be silent before other instances stop relying on it.
-func (s *Settings) PeerSilent() time.Duration {
+func (s *Settings) PeerSilenceTimeout() time.Duration {
 	return time.Duration(s.PeerSilentMillis) * time.Millisecond
 }
--- a/pkg/soak/goback.go
+++ b/pkg/soak/goback.go
@@ -21,8 +21,8 @@
 func (r *run) goBack(f Fault) {
 	away := f.For / awayPart
 	r.noteLost(time.Now().Add(-f.For), time.Now().Add(away+settledTime))
-	r.fleet.store.GoBack(standin.Return{
-		AwayMillis: away.Milliseconds(), AgeMillis: f.For.Milliseconds(), Silent: f.Target%2 == 0,
+	r.fleet.store.RollBack(standin.Rollback{
+		OutageMillis: away.Milliseconds(), CopyAgeMillis: f.For.Milliseconds(), Silent: f.Target%2 == 0,
 	})
 	if err := r.fleet.operator.write(); err != nil {
 		r.violate("the configuration was not written again: %v", err)
--- a/pkg/soak/operator.go
+++ b/pkg/soak/operator.go
@@ -73,12 +73,12 @@
 
 func (o *operator) config() *routing.Config {
 	config := &routing.Config{
-		Version: o.version,
-		Keyed:   true,
+		Version:     o.version,
+		KeyRequired: true,
 		Services: []routing.Service{
-			{Name: plainService, MaxConnections: 4000, ColdPerSecond: coldPerSecond, ColdFor: coldFor},
+			{Name: plainService, MaxConnections: 4000, ColdPerSecond: coldPerSecond, ColdDuration: coldFor},
 			{
-				Name: engineService, MaxConnections: 4000, ColdPerSecond: coldPerSecond, ColdFor: coldFor,
+				Name: engineService, MaxConnections: 4000, ColdPerSecond: coldPerSecond, ColdDuration: coldFor,
 				Engine: &routing.Engine{Slots: 64, MemoryTokens: 1 << 20, TokensPerEvent: 1},
 			},
 		},
@@ -97,7 +97,7 @@
 	}
 	for _, r := range all {
 		r.Host, r.Prefix, r.Timeout = host, "/"+r.Name+"/", routeTimeout
-		r.Objective, r.Pause = routeTimeout/8, routeTimeout/8
+		r.Objective, r.MaxPause = routeTimeout/8, routeTimeout/8
 		config.Routes = append(config.Routes, r)
 	}
 	return config
--- a/pkg/soak/strike.go
+++ b/pkg/soak/strike.go
@@ -188,7 +188,7 @@
 		r.goBack(f)
 		return
 	case HistoryGone:
-		r.fleet.store.ForgetHistory()
+		r.fleet.store.CompactHistory()
 		return
 	case Change:
 		if err := r.fleet.operator.change(); err != nil {
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -105,7 +105,7 @@
 	http.POST("/v1/chat/completions", s.complete)
 	http.POST("/cancel/:id", s.cancel)
 	http.GET("/load", s.load)
-	http.POST("/faults", httpserve.Take(s.SetFaults))
+	http.POST("/faults", httpserve.HandleJSON(s.SetFaults))
 	http.GET("/usage", s.usage)
 	http.Serve()
 	go s.reportLoad()
--- a/pkg/standin/plain/plain.go
+++ b/pkg/standin/plain/plain.go
@@ -63,7 +63,7 @@
 	s := &Server{http: http, fatal: fatal, incarnation: ulid.Make().String()}
 	http.Use(s.tellIncarnation)
 	http.OPTIONS("/*path", func(context.Context, *app.RequestContext) {})
-	http.POST("/_faults", httpserve.Take(s.SetFaults))
+	http.POST("/_faults", httpserve.HandleJSON(s.SetFaults))
 	http.GET("/_runs", s.getRuns)
 	http.NoRoute(s.run)
 	http.Serve()
--- a/pkg/standin/relay/relay.go
+++ b/pkg/standin/relay/relay.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	r.control = server
-	server.POST("/faults", httpserve.Take(r.SetFaults))
+	server.POST("/faults", httpserve.HandleJSON(r.SetFaults))
 	server.Serve()
 	return nil
 }
--- a/pkg/store/callcontext.go
+++ b/pkg/store/callcontext.go
@@ -7,13 +7,13 @@
 // WithAnswerStarted returns a context for a call whose client calls onStarted when it has received
 // the head of the answer. The body may be large and take long on a slow link, but from then on
 // the answer does not count as lost.
-func WithAnswerBegun(ctx context.Context, onStarted func()) context.Context {
+func WithAnswerStarted(ctx context.Context, onStarted func()) context.Context {
 	return context.WithValue(ctx, answerStartedKey{}, onStarted)
 }
 
 // NotifyAnswerStarted calls the function of WithAnswerStarted, if ctx has one. Clients call it when
 // they have received the head of an answer.
-func AnswerBegun(ctx context.Context) {
+func NotifyAnswerStarted(ctx context.Context) {
 	if onStarted, set := ctx.Value(answerStartedKey{}).(func()); set {
 		onStarted()
 	}
--- a/pkg/store/storefake/store.go
+++ b/pkg/store/storefake/store.go
@@ -44,7 +44,7 @@
 }
 
 // RollBack undoes the last writes and starts the next era.
-func (s *Store) GoBack(writes int) {
+func (s *Store) RollBack(writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if writes = min(writes, len(s.snapshots)); writes > 0 {
@@ -91,7 +91,7 @@
 
 // SetBeforeWrite sets a function that runs before each write with a probability, but not before writes
 // made while it runs.
-func (s *Store) SetBetween(probability float64, beforeWrite func()) {
+func (s *Store) SetBeforeWrite(probability float64, beforeWrite func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.beforeWriteProbability, s.beforeWrite = probability, beforeWrite
--- a/pkg/tlsfiles/tlsfiles.go
+++ b/pkg/tlsfiles/tlsfiles.go
@@ -91,7 +91,7 @@
 // PeerConfigs returns the TLS configurations of both sides of connections between
 // instances. Each side requires from the other a certificate for PeerName that the
 // authority signed, so that nobody else can get tokens or configuration.
-func Peer(files Files) (server, client *tls.Config, err error) {
+func PeerConfigs(files Files) (server, client *tls.Config, err error) {
 	k, err := NewCertReloader(files)
 	if err != nil {
 		return nil, nil, err
--- a/pkg/upstream/stream.go
+++ b/pkg/upstream/stream.go
@@ -84,7 +84,7 @@
 	defer protocol.ReleaseRequest(req)
 	s.resp = protocol.AcquireResponse()
 	fillRequest(req, s.address, r)
-	opts := httpcall.Options{Address: s.address, OnHanded: tracker.MarkSending, Stream: true}
+	opts := httpcall.Options{Address: s.address, OnSending: tracker.MarkSending, Stream: true}
 	closeCall, err := httpcall.Call(ctx, opts, req, s.resp)
 	s.closeCall = closeCall
 	if err != nil {
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -99,7 +99,7 @@
 	if r.IdempotencyKey != "" {
 		req.Header.Set(chat.HeaderIdempotencyKey, r.IdempotencyKey)
 	}
-	opts := httpcall.Options{Address: address, OnHanded: tracker.MarkSending, MaxResponseBytes: maxAnswerBytes}
+	opts := httpcall.Options{Address: address, OnSending: tracker.MarkSending, MaxResponseBytes: maxAnswerBytes}
 	closeCall, err := httpcall.Call(ctx, opts, req, resp)
 	defer closeCall()
 	if err != nil {
--- a/test/budget_test.go
+++ b/test/budget_test.go
@@ -93,8 +93,8 @@
 		t.Errorf("the engines counted %d tokens, %d were prepaid", spent, prepaid)
 	}
 	statement := f.statement()
-	if len(statement.Doubles) > 0 {
-		t.Errorf("billed twice: %v", statement.Doubles)
+	if len(statement.DuplicateBills) > 0 {
+		t.Errorf("billed twice: %v", statement.DuplicateBills)
 	}
 	for _, a := range answers {
 		if !a.whole {
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -213,7 +213,7 @@
 		},
 		Pools: []document.Pool{
 			{Name: "reports", Kind: document.KindModel, Model: "leak-report", MaxOutputTokens: 400},
-			{Name: "jobs", Kind: document.KindPlain, PriceTokens: 10, Once: []document.Once{{Method: "POST", Path: "/assign"}}},
+			{Name: "jobs", Kind: document.KindPlain, PriceTokens: 10, NonIdempotent: []document.RequestPattern{{Method: "POST", Path: "/assign"}}},
 		},
 	}
 	for n, p := range f.engines {
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -162,7 +162,7 @@
 	for _, method := range []string{http.MethodPost, http.MethodPut} {
 		t.Run(method, func(t *testing.T) {
 			f := newFleet(t, options{instances: 2, services: 2, prepaid: 10_000})
-			f.doc.Pools[1].Once[0].Method = method
+			f.doc.Pools[1].NonIdempotent[0].Method = method
 			f.doc.Accounts[0].PrepaidTokens++ // the store makes no version of a document that is the same
 			f.apply(f.doc)
 			f.awaitGeneration(2)
