--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -242,7 +242,7 @@
 	crashed := f.armUpstreams()
 	f.condemn("safe", fatalBody)
 	f.awaitVerdict()
-	f.store.GoBack(standin.Return{AwayMillis: 100, AgeMillis: time.Since(time.Unix(0, 0)).Milliseconds()})
+	f.store.RollBack(standin.Rollback{OutageMillis: 100, CopyAgeMillis: time.Since(time.Unix(0, 0)).Milliseconds()})
 	f.writeAgain()
 	f.awaitVerdict()
 	before := crashed.of(fatalBody)
--- a/test/recovery_test.go
+++ b/test/recovery_test.go
@@ -74,7 +74,7 @@
 	}
 	time.Sleep(1200 * time.Millisecond) // two reports of each instance
 	drawer := f.drawerOf()
-	f.store.GoBack(standin.Return{AwayMillis: 300, AgeMillis: time.Since(began).Milliseconds() + 200})
+	f.store.RollBack(standin.Rollback{OutageMillis: 300, CopyAgeMillis: time.Since(began).Milliseconds() + 200})
 	drawer.kill()
 	f.writeAgain()
 	served := 0
@@ -102,7 +102,7 @@
 		f.configure()
 	}
 	time.Sleep(time.Second)
-	f.store.GoBack(standin.Return{AwayMillis: 300, AgeMillis: time.Since(began).Milliseconds() + 200})
+	f.store.RollBack(standin.Rollback{OutageMillis: 300, CopyAgeMillis: time.Since(began).Milliseconds() + 200})
 	f.writeAgain()
 	f.without["safe"] = true
 	f.configure()
@@ -122,7 +122,7 @@
 		t.Fatalf("got %d %s", a.status, a.body)
 	}
 	time.Sleep(300 * time.Millisecond) // its outcome is recorded
-	f.post(f.platform.address, "/go-back", standin.Return{AwayMillis: 200, AgeMillis: 900})
+	f.post(f.platform.address, "/go-back", standin.Rollback{OutageMillis: 200, CopyAgeMillis: 900})
 	time.Sleep(time.Second)
 	a := assign(f.instances[1].address, "job-1", "leak-17")
 	if runs := f.runsOf("leak-17"); runs != 1 || a.refusedUnrun() {
--- a/test/route_harness_test.go
+++ b/test/route_harness_test.go
@@ -107,8 +107,8 @@
 	f.t.Helper()
 	f.version++
 	config := &routing.Config{
-		Version: uint64(f.version),
-		Keyed:   true,
+		Version:     uint64(f.version),
+		KeyRequired: true,
 		Services: []routing.Service{
 			{Name: "jobs", MaxConnections: 100},
 			{Name: "models", MaxConnections: 100, Engine: &routing.Engine{Slots: 64, MemoryTokens: 100000, TokensPerEvent: 1}},
@@ -124,7 +124,7 @@
 		}
 		config.Routes = append(config.Routes, routing.Route{
 			Name: name, Host: routedHost, Prefix: "/" + name + "/", Kind: kind, Timeout: 3 * time.Second,
-			Objective: 400 * time.Millisecond, Pause: 400 * time.Millisecond, MaxAttempts: attempts, Resumable: resumable,
+			Objective: 400 * time.Millisecond, MaxPause: 400 * time.Millisecond, MaxAttempts: attempts, Resumable: resumable,
 			Targets: []routing.Target{{Service: service, Weight: 1}},
 		})
 	}
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -132,7 +132,7 @@
 		"[peer_tls]\ncertificate = %q\nkey = %q\nauthority = %q\n[caller_tls]\ncertificate = %q\nkey = %q\n",
 		ours.path("peer"), ours.path("peer-key"), ours.path("authority"), ours.path("caller"), ours.path("caller-key"))})
 	address := f.peerAddress(f.instances[0])
-	_, good, err := tlsfiles.Peer(tlsfiles.Files{
+	_, good, err := tlsfiles.PeerConfigs(tlsfiles.Files{
 		Certificate: ours.path("peer"), Key: ours.path("peer-key"), Authority: ours.path("authority"),
 	})
 	f.must(err)
@@ -143,7 +143,7 @@
 		"another authority": {Certificate: others.path("peer"), Key: others.path("peer-key"), Authority: ours.path("authority")},
 		"not an instance":   {Certificate: ours.path("office"), Key: ours.path("office-key"), Authority: ours.path("authority")},
 	} {
-		_, config, err := tlsfiles.Peer(files)
+		_, config, err := tlsfiles.PeerConfigs(files)
 		f.must(err)
 		if askForTokens(address, config) == nil {
 			t.Errorf("%s: got tokens", description)
