--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,5 +1,5 @@
-// Command experiment compares budget policies on seeded workloads and faults
-// under virtual time and prints tables. It needs no network.
+// Command experiment compares budget policies on seeded workloads and faults in virtual time and
+// prints tables. It needs no network.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	var a args
 	arg.MustParse(&a)
 	if a.Safety > 0 {
-		if overspent := experiment.Safety(os.Stdout, a.Safety); overspent > 0 {
+		if overspent := experiment.RunSafety(os.Stdout, a.Safety); overspent > 0 {
 			os.Exit(1)
 		}
 		return
@@ -41,7 +41,7 @@
 		exitOn(coldstart.Compare(os.Stdout, a.Cold))
 		return
 	}
-	exitOn(experiment.Tables(os.Stdout, experiment.Plan{Minutes: a.Minutes, Seeds: a.Seeds, Only: a.Only}))
+	exitOn(experiment.PrintTables(os.Stdout, experiment.Plan{Minutes: a.Minutes, Seeds: a.Seeds, ScenarioFilter: a.Only}))
 }
 
 func exitOn(err error) {
@@ -51,7 +51,8 @@
 	}
 }
 
-// compareBlame compares policies of the quarantine and plots them, if a file is named.
+// compareBlame compares policies of the quarantine. If plot is not empty, it names the SVG file to
+// write.
 func compareBlame(seeds int, plot string) error {
 	if plot == "" {
 		return blame.Compare(os.Stdout, nil, seeds, blame.Sizes)
--- a/pkg/experiment/baselines.go
+++ b/pkg/experiment/baselines.go
@@ -5,101 +5,106 @@
 	"time"
 )
 
-// faults is what the baselines' worlds share: who can reach whom, and the store.
-type faults struct {
+// faultState is the part that the baselines share: the network links that are down, the faults of
+// the store, and the virtual time.
+type faultState struct {
 	instances  int
-	cuts       map[[2]int]bool
+	linksDown  map[[2]int]bool
 	storeDown  bool
 	storeSlow  bool
 	storeCalls int64
 	now        time.Duration
 }
 
-func newFaults(d Deployment) faults {
-	return faults{instances: d.Instances, cuts: map[[2]int]bool{}}
+func newFaults(d Deployment) faultState {
+	return faultState{instances: d.Instances, linksDown: map[[2]int]bool{}}
 }
 
-func (f *faults) tick(now time.Duration)     { f.now = now }
-func (f *faults) pause(int, bool)            {}
-func (f *faults) cut(from, to int, cut bool) { f.cuts[[2]int{from, to}] = cut }
-func (f *faults) calls() int64               { return f.storeCalls }
-func (f *faults) reach(a, b int) bool        { return !f.cuts[[2]int{a, b}] && !f.cuts[[2]int{b, a}] }
-func (f *faults) inDoubt() int64             { return 0 }
-func (f *faults) store(d, s bool, _ float64) { f.storeDown, f.storeSlow = d, s }
-func (f *faults) storeAnswers() bool         { return !f.storeDown && !f.storeSlow }
+func (f *faultState) tick(now time.Duration)              { f.now = now }
+func (f *faultState) setPaused(int, bool)                 {}
+func (f *faultState) setLinkDown(from, to int, down bool) { f.linksDown[[2]int{from, to}] = down }
+func (f *faultState) numStoreCalls() int64                { return f.storeCalls }
+func (f *faultState) connected(a, b int) bool {
+	return !f.linksDown[[2]int{a, b}] && !f.linksDown[[2]int{b, a}]
+}
+func (f *faultState) inDoubt() int64 { return 0 }
+func (f *faultState) setStoreFaults(down, slow bool, _ float64) {
+	f.storeDown, f.storeSlow = down, slow
+}
+func (f *faultState) storeAvailable() bool { return !f.storeDown && !f.storeSlow }
 
-// held is a reservation of a baseline.
-type held struct {
-	account, place int
-	bound          int64
+// baselineReservation is a reservation of a baseline policy.
+type baselineReservation struct {
+	account, instance int
+	maxTokens         int64
 }
 
-// split gives each instance a fixed equal part of each budget. A crash strands
-// the part, since nobody knows how much of it was spent.
-type split struct {
-	faults
+// equalSplit gives each instance a fixed, equal share of each budget. A crash strands the share,
+// since nobody knows how much of it was spent.
+type equalSplit struct {
+	faultState
 	prepaid  []int64
-	parts    [][]int64
+	shares   [][]int64
 	stranded []int64
 	restarts []int
 }
 
-func newSplit(d Deployment, prepaid []int64, _ *rand.Rand) system {
-	s := &split{
-		faults:   newFaults(d),
-		prepaid:  append([]int64(nil), prepaid...),
-		stranded: make([]int64, len(prepaid)),
-		restarts: make([]int, d.Instances),
+func newEqualSplit(d Deployment, prepaid []int64, _ *rand.Rand) fleet {
+	s := &equalSplit{
+		faultState: newFaults(d),
+		prepaid:    append([]int64(nil), prepaid...),
+		stranded:   make([]int64, len(prepaid)),
+		restarts:   make([]int, d.Instances),
 	}
 	for range d.Instances {
-		part := make([]int64, len(prepaid))
+		share := make([]int64, len(prepaid))
 		for n, tokens := range prepaid {
-			part[n] = tokens / int64(d.Instances)
+			share[n] = tokens / int64(d.Instances)
 		}
-		s.parts = append(s.parts, part)
+		s.shares = append(s.shares, share)
 	}
 	return s
 }
 
-type splitAdmission struct {
-	held
-	restart int
+type splitReservation struct {
+	baselineReservation
+	restarts int
 }
 
-func (s *split) reserve(instance, n int, bound int64) (admission, bool) {
-	if s.parts[instance][n] < bound {
+func (s *equalSplit) reserve(instance, n int, maxTokens int64) (reservation, bool) {
+	if s.shares[instance][n] < maxTokens {
 		return nil, false
 	}
-	s.parts[instance][n] -= bound
-	return splitAdmission{held{account: n, place: instance, bound: bound}, s.restarts[instance]}, true
+	s.shares[instance][n] -= maxTokens
+	return splitReservation{baselineReservation{account: n, instance: instance, maxTokens: maxTokens}, s.restarts[instance]}, true
 }
 
-func (s *split) settle(_ int, t admission, used int64) {
-	h := t.(splitAdmission)
-	if s.restarts[h.place] == h.restart {
-		s.parts[h.place][h.account] += h.bound - used
+func (s *equalSplit) settle(_ int, res reservation, used int64) {
+	h := res.(splitReservation)
+	if s.restarts[h.instance] == h.restarts {
+		s.shares[h.instance][h.account] += h.maxTokens - used
 	}
 }
 
-func (s *split) topUp(prepaid []int64) {
+func (s *equalSplit) topUp(prepaid []int64) {
 	for n, tokens := range prepaid {
 		more := (tokens - s.prepaid[n]) / int64(s.instances)
-		for _, part := range s.parts {
-			part[n] += more
+		for _, share := range s.shares {
+			share[n] += more
 		}
 		s.prepaid[n] = tokens
 	}
 }
 
-func (s *split) crash(instance int) {
+func (s *equalSplit) crash(instance int) {
 	s.restarts[instance]++
-	for n, rest := range s.parts[instance] {
+	for n, rest := range s.shares[instance] {
 		s.stranded[n] += rest
-		s.parts[instance][n] = 0
+		s.shares[instance][n] = 0
 	}
 }
 
-func (s *split) inDoubt() int64 {
+func (s *equalSplit) inDoubt() int64 {
 	var doubt int64
 	for _, tokens := range s.stranded {
 		doubt += tokens
@@ -107,148 +112,148 @@
 	return doubt
 }
 
-// perRequest reserves each request by a write to the store. A crash strands the
-// open reservations only.
+// perRequest reserves tokens for each request by a write to the store. A crash strands only the
+// reservations of running requests.
 type perRequest struct {
-	faults
-	free []int64
-	used []int64
+	faultState
+	free    []int64
+	prepaid []int64
 }
 
-func newPerRequest(d Deployment, prepaid []int64, _ *rand.Rand) system {
+func newPerRequest(d Deployment, prepaid []int64, _ *rand.Rand) fleet {
 	return &perRequest{
-		faults: newFaults(d),
-		free:   append([]int64(nil), prepaid...),
-		used:   append([]int64(nil), prepaid...),
+		faultState: newFaults(d),
+		free:       append([]int64(nil), prepaid...),
+		prepaid:    append([]int64(nil), prepaid...),
 	}
 }
 
-func (p *perRequest) reserve(_, n int, bound int64) (admission, bool) {
+func (p *perRequest) reserve(_, n int, maxTokens int64) (reservation, bool) {
 	p.storeCalls += 2
-	if !p.storeAnswers() || p.free[n] < bound {
+	if !p.storeAvailable() || p.free[n] < maxTokens {
 		return nil, false
 	}
-	p.free[n] -= bound
-	return held{account: n, bound: bound}, true
+	p.free[n] -= maxTokens
+	return baselineReservation{account: n, maxTokens: maxTokens}, true
 }
 
-func (p *perRequest) settle(_ int, t admission, used int64) {
+func (p *perRequest) settle(_ int, res reservation, used int64) {
 	p.storeCalls += 2
-	h := t.(held)
-	p.free[h.account] += h.bound - used // flattered: written even in an outage
+	h := res.(baselineReservation)
+	p.free[h.account] += h.maxTokens - used // succeeds even in a store outage, which favors this baseline
 }
 
 func (p *perRequest) topUp(prepaid []int64) {
 	for n, tokens := range prepaid {
-		p.free[n] += tokens - p.used[n]
-		p.used[n] = tokens
+		p.free[n] += tokens - p.prepaid[n]
+		p.prepaid[n] = tokens
 	}
 }
 
 func (p *perRequest) crash(int) {}
 
-// homeAway is how long an account's home is away after a crash; its state is
-// recovered perfectly then, which flatters this baseline.
-const homeAway = 10 * time.Second
+// homeRecoveryTime is how long an account's home instance is unavailable after a crash. Its state
+// is then recovered completely, which favors this baseline.
+const homeRecoveryTime = 10 * time.Second
 
-// home keeps each account's budget at one instance in memory.
+// home keeps each account's budget in the memory of one instance.
 type home struct {
-	faults
-	free  []int64
-	known []int64
-	away  []time.Duration
-	down  []bool
+	faultState
+	free        []int64
+	prepaid     []int64
+	recoveredAt []time.Duration
+	paused      []bool
 }
 
-func newHome(d Deployment, prepaid []int64, _ *rand.Rand) system {
+func newHome(d Deployment, prepaid []int64, _ *rand.Rand) fleet {
 	return &home{
-		faults: newFaults(d),
-		free:   append([]int64(nil), prepaid...),
-		known:  append([]int64(nil), prepaid...),
-		away:   make([]time.Duration, d.Instances),
-		down:   make([]bool, d.Instances),
+		faultState:  newFaults(d),
+		free:        append([]int64(nil), prepaid...),
+		prepaid:     append([]int64(nil), prepaid...),
+		recoveredAt: make([]time.Duration, d.Instances),
+		paused:      make([]bool, d.Instances),
 	}
 }
 
-func (h *home) reserve(instance, n int, bound int64) (admission, bool) {
+func (h *home) reserve(instance, n int, maxTokens int64) (reservation, bool) {
 	at := n % h.instances
-	if h.down[at] || h.now < h.away[at] || !h.reach(instance, at) || h.free[n] < bound {
+	if h.paused[at] || h.now < h.recoveredAt[at] || !h.connected(instance, at) || h.free[n] < maxTokens {
 		return nil, false
 	}
-	h.free[n] -= bound
-	return held{account: n, bound: bound}, true
+	h.free[n] -= maxTokens
+	return baselineReservation{account: n, maxTokens: maxTokens}, true
 }
 
-func (h *home) settle(_ int, t admission, used int64) {
-	r := t.(held)
-	h.free[r.account] += r.bound - used
+func (h *home) settle(_ int, res reservation, used int64) {
+	r := res.(baselineReservation)
+	h.free[r.account] += r.maxTokens - used
 }
 
 func (h *home) topUp(prepaid []int64) {
 	for n, tokens := range prepaid {
-		h.free[n] += tokens - h.known[n]
-		h.known[n] = tokens
+		h.free[n] += tokens - h.prepaid[n]
+		h.prepaid[n] = tokens
 	}
 }
 
-func (h *home) crash(instance int)              { h.away[instance] = h.now + homeAway }
-func (h *home) pause(instance int, paused bool) { h.down[instance] = paused }
+func (h *home) crash(instance int)                  { h.recoveredAt[instance] = h.now + homeRecoveryTime }
+func (h *home) setPaused(instance int, paused bool) { h.paused[instance] = paused }
 
-// shareEvery is how often instances that count afterwards tell each other.
-const shareEvery = 5 * time.Second
+// shareInterval is how often the instances of countAfterwards exchange their usage.
+const shareInterval = 5 * time.Second
 
-// afterwards admits while the known total is below what was prepaid, and counts
-// what a request cost when it is over, as the known gateways do.
-type afterwards struct {
-	faults
-	prepaid []int64
-	own     [][]int64   // by instance and account
-	seen    [][][]int64 // by reader, writer and account
-	shared  time.Duration
+// countAfterwards admits requests while the known usage is below the prepaid tokens, and counts
+// the cost of a request when it has ended, as existing gateways do.
+type countAfterwards struct {
+	faultState
+	prepaid    []int64
+	ownUsage   [][]int64   // by instance and account
+	seenUsage  [][][]int64 // by reader, writer and account
+	lastShared time.Duration
 }
 
-func newAfterwards(d Deployment, prepaid []int64, _ *rand.Rand) system {
-	a := &afterwards{faults: newFaults(d), prepaid: append([]int64(nil), prepaid...)}
+func newCountAfterwards(d Deployment, prepaid []int64, _ *rand.Rand) fleet {
+	a := &countAfterwards{faultState: newFaults(d), prepaid: append([]int64(nil), prepaid...)}
 	for range d.Instances {
-		a.own = append(a.own, make([]int64, len(prepaid)))
+		a.ownUsage = append(a.ownUsage, make([]int64, len(prepaid)))
 		var seen [][]int64
 		for range d.Instances {
 			seen = append(seen, make([]int64, len(prepaid)))
 		}
-		a.seen = append(a.seen, seen)
+		a.seenUsage = append(a.seenUsage, seen)
 	}
 	return a
 }
 
-func (a *afterwards) reserve(instance, n int, bound int64) (admission, bool) {
-	total := a.own[instance][n]
-	for other := range a.own {
+func (a *countAfterwards) reserve(instance, n int, maxTokens int64) (reservation, bool) {
+	total := a.ownUsage[instance][n]
+	for other := range a.ownUsage {
 		if other != instance {
-			total += a.seen[instance][other][n]
+			total += a.seenUsage[instance][other][n]
 		}
 	}
-	return held{account: n, place: instance, bound: bound}, total < a.prepaid[n]
+	return baselineReservation{account: n, instance: instance, maxTokens: maxTokens}, total < a.prepaid[n]
 }
 
-func (a *afterwards) settle(_ int, t admission, used int64) {
-	h := t.(held)
-	a.own[h.place][h.account] += used
+func (a *countAfterwards) settle(_ int, res reservation, used int64) {
+	h := res.(baselineReservation)
+	a.ownUsage[h.instance][h.account] += used
 }
 
-func (a *afterwards) tick(now time.Duration) {
-	a.faults.tick(now)
-	if now-a.shared < shareEvery {
+func (a *countAfterwards) tick(now time.Duration) {
+	a.faultState.tick(now)
+	if now-a.lastShared < shareInterval {
 		return
 	}
-	a.shared = now
-	for reader := range a.own {
-		for writer := range a.own {
-			if a.reach(reader, writer) {
-				copy(a.seen[reader][writer], a.own[writer])
+	a.lastShared = now
+	for reader := range a.ownUsage {
+		for writer := range a.ownUsage {
+			if a.connected(reader, writer) {
+				copy(a.seenUsage[reader][writer], a.ownUsage[writer])
 			}
 		}
 	}
 }
 
-func (a *afterwards) topUp(prepaid []int64) { a.prepaid = append([]int64(nil), prepaid...) }
-func (a *afterwards) crash(int)             {}
+func (a *countAfterwards) topUp(prepaid []int64) { a.prepaid = append([]int64(nil), prepaid...) }
+func (a *countAfterwards) crash(int)             {}
--- a/pkg/experiment/policy.go
+++ b/pkg/experiment/policy.go
@@ -8,85 +8,90 @@
 	"github.com/lavenderring/lavenderring/pkg/budget/fleetfake"
 )
 
-// admission is one admitted request's reservation with a policy.
-type admission any
-
-// system is what a policy can be hit by. The runner calls it.
-type system interface {
-	// reserve admits a request of an account at an instance, or not.
-	reserve(instance int, account int, bound int64) (admission, bool)
-	// settle ends a request at its instance.
-	settle(instance int, t admission, used int64)
-	// tick lets a second pass.
+// reservation is a policy's record of the tokens reserved for one admitted request.
+type reservation any
+
+// fleet is a simulated fleet that runs one policy. The simulation sends it requests and faults.
+type fleet interface {
+	// reserve reports whether an instance admits a request of an account that costs at most
+	// maxTokens.
+	reserve(instance int, account int, maxTokens int64) (reservation, bool)
+	// settle ends a request at the instance that admitted it; used is its real cost.
+	settle(instance int, res reservation, used int64)
+	// tick advances the virtual time by a second, to now.
 	tick(now time.Duration)
-	// topUp changes what accounts prepaid.
+	// topUp sets the prepaid tokens of all accounts.
 	topUp(prepaid []int64)
-	// crash kills an instance and starts another in its place.
+	// crash kills an instance and starts a new one in its place.
 	crash(instance int)
-	// pause stops an instance or lets it go on.
-	pause(instance int, paused bool)
-	// cut breaks or mends the way from one instance to another.
-	cut(from, to int, cut bool)
-	// store sets the store's faults.
-	store(down, slow bool, loseAnswer float64)
-	// calls returns the store calls made so far.
-	calls() int64
-	// inDoubt returns the tokens that no request can use any more for now.
+	// setPaused pauses or resumes an instance.
+	setPaused(instance int, paused bool)
+	// setLinkDown breaks or repairs the link from one instance to another, in this direction.
+	setLinkDown(from, to int, down bool)
+	// setStoreFaults sets the faults of the store; loseAnswer is the probability that the answer
+	// to a write is lost.
+	setStoreFaults(down, slow bool, loseAnswer float64)
+	// numStoreCalls returns the number of store calls so far.
+	numStoreCalls() int64
+	// inDoubt returns the number of tokens that no request can use for now.
 	inDoubt() int64
 }
 
-// Policy makes a system.
+// Policy is a way to keep requests within the prepaid tokens of their accounts.
 type Policy struct {
 	// Name is the policy's name in tables.
 	Name string
-	// Safe says that it promises not to overspend.
+	// Safe reports whether the policy guarantees not to overspend.
 	Safe bool
-	make func(d Deployment, prepaid []int64, rng *rand.Rand) system
+	// newFleet returns a fleet that runs the policy.
+	newFleet func(d Deployment, prepaid []int64, rng *rand.Rand) fleet
 }
 
-// Policies are this project's, two weaker forms of it, and the baselines.
+// Policies are the policy of this project, a weaker form of it without witnesses, and the
+// baselines.
 var Policies = []Policy{
 	{"countersigned grants", true, newGrants(false)},
 	{"grants, unwitnessed", true, newGrants(true)},
-	{"equal split", true, newSplit},
+	{"equal split", true, newEqualSplit},
 	{"store write per request", true, newPerRequest},
 	{"one home instance", true, newHome},
-	{"counting afterwards", false, newAfterwards},
+	{"counting afterwards", false, newCountAfterwards},
 }
 
-// experimentShards is the number of ledger shards in the experiment.
-const experimentShards = 4
+// numLedgerShards is the number of ledger shards in the experiment.
+const numLedgerShards = 4
 
-// grants is the real decision code on its fakes.
+// grants runs the real decision code of package budget on fakes of its network and store.
 type grants struct {
 	fleet *fleetfake.Fleet
 }
 
-func newGrants(unwitnessed bool) func(Deployment, []int64, *rand.Rand) system {
-	return func(d Deployment, prepaid []int64, rng *rand.Rand) system {
-		cfg := budget.Config{Shards: experimentShards, Unwitnessed: unwitnessed, MinimumSigned: 64}
-		return &grants{fleet: fleetfake.New(d.Instances, d.Domains, cfg, named(prepaid), rng)}
+func newGrants(unwitnessed bool) func(Deployment, []int64, *rand.Rand) fleet {
+	return func(d Deployment, prepaid []int64, rng *rand.Rand) fleet {
+		cfg := budget.Config{Shards: numLedgerShards, Unwitnessed: unwitnessed, MinimumSigned: 64}
+		return &grants{fleet: fleetfake.New(d.Instances, d.Domains, cfg, prepaidByBudget(prepaid), rng)}
 	}
 }
 
-func named(prepaid []int64) map[string]int64 {
+// prepaidByBudget returns the prepaid tokens by budget ID.
+func prepaidByBudget(prepaid []int64) map[string]int64 {
 	out := map[string]int64{}
 	for n, tokens := range prepaid {
-		out[account(n)] = tokens
+		out[budgetID(n)] = tokens
 	}
 	return out
 }
 
-func (g *grants) reserve(instance, n int, bound int64) (admission, bool) {
+func (g *grants) reserve(instance, n int, maxTokens int64) (reservation, bool) {
 	r := &budget.Reservation{}
-	if g.fleet.Reserve(instance, account(n), bound, r) != nil {
+	if g.fleet.Reserve(instance, budgetID(n), maxTokens, r) != nil {
 		return nil, false
 	}
 	return r, true
 }
 
-func (g *grants) settle(instance int, t admission, used int64) {
-	g.fleet.Nodes[instance].Node.Settle(t.(*budget.Reservation), used)
+func (g *grants) settle(instance int, res reservation, used int64) {
+	g.fleet.Nodes[instance].Node.Settle(res.(*budget.Reservation), used)
 }
 
 func (g *grants) tick(time.Duration) {
@@ -95,13 +100,13 @@
 }
 
 func (g *grants) topUp(prepaid []int64) {
-	g.fleet.Prepaid = named(prepaid)
+	g.fleet.Prepaid = prepaidByBudget(prepaid)
 	g.fleet.Generation++
 }
 
 func (g *grants) crash(instance int) { g.fleet.Crash(instance) }
 
-func (g *grants) pause(instance int, paused bool) {
+func (g *grants) setPaused(instance int, paused bool) {
 	if paused {
 		g.fleet.Pause(instance)
 		return
@@ -109,19 +114,19 @@
 	g.fleet.Resume(instance)
 }
 
-func (g *grants) cut(from, to int, cut bool) { g.fleet.Cut(from, to, cut) }
+func (g *grants) setLinkDown(from, to int, down bool) { g.fleet.Cut(from, to, down) }
 
-func (g *grants) store(down, slow bool, loseAnswer float64) {
+func (g *grants) setStoreFaults(down, slow bool, loseAnswer float64) {
 	g.fleet.Faults.StoreDown = down
 	g.fleet.Faults.StoreSlow = slow
 	g.fleet.Faults.LoseWriteAnswer = loseAnswer
 }
 
-func (g *grants) calls() int64 { return g.fleet.Reads + g.fleet.Writes }
+func (g *grants) numStoreCalls() int64 { return g.fleet.Reads + g.fleet.Writes }
 
 func (g *grants) inDoubt() int64 {
 	var doubt int64
-	for shard := 0; shard < experimentShards; shard++ {
+	for shard := 0; shard < numLedgerShards; shard++ {
 		for _, b := range g.fleet.Shard(shard).Budgets {
 			doubt += b.InDoubt()
 		}
--- a/pkg/experiment/safety.go
+++ b/pkg/experiment/safety.go
@@ -10,27 +10,26 @@
 	"time"
 )
 
-// safetyLength is the virtual length of one safety run.
-const safetyLength = 4 * time.Minute
+// safetyRunDuration is the virtual time of one safety run.
+const safetyRunDuration = 4 * time.Minute
 
-// randomFaults is a scenario that changes the faults at random, all kinds at
-// once and more than once.
+// randomFaults returns a scenario that changes the faults at random: kinds overlap and repeat.
 func randomFaults(seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 99))
-	return Scenario{Name: "random faults", act: func(r *run, _ float64) {
+	return Scenario{Name: "random faults", apply: func(r *simulation, _ float64) {
 		instance := rng.IntN(r.deployment.Instances)
 		other := rng.IntN(r.deployment.Instances)
 		switch rng.IntN(40) {
 		case 0:
 			r.crash(instance)
 		case 1, 2:
-			r.setPaused(instance, rng.IntN(2) == 0)
+			r.pauseOnly(instance, rng.IntN(2) == 0)
 		case 3, 4, 5:
-			r.system.cut(instance, other, instance != other && rng.IntN(2) == 0)
+			r.fleet.setLinkDown(instance, other, instance != other && rng.IntN(2) == 0)
 		case 6:
-			r.system.store(rng.IntN(3) == 0, rng.IntN(3) == 0, 0.4*rng.Float64())
+			r.fleet.setStoreFaults(rng.IntN(3) == 0, rng.IntN(3) == 0, 0.4*rng.Float64())
 		case 7:
-			r.system.store(false, false, 0)
+			r.fleet.setStoreFaults(false, false, 0)
 		case 8:
 			r.toppedUp = false
 			r.topUpAt(1, 0)
@@ -38,9 +37,9 @@
 	}}
 }
 
-// Safety plays runs with random faults with this project's policy and returns
-// how many overspent.
-func Safety(out io.Writer, runs int) int64 {
+// RunSafety runs the policy of this project under random faults, once for each of the seeds from
+// 1 to runs, and returns the number of runs that overspent.
+func RunSafety(out io.Writer, runs int) int64 {
 	var overspent, requests, refusals atomic.Int64
 	limit := make(chan struct{}, max(runtime.NumCPU()/2, 1))
 	var group sync.WaitGroup
@@ -48,7 +47,7 @@
 		limit <- struct{}{}
 		group.Go(func() {
 			seed := uint64(n + 1)
-			result := Run(deployments[n%len(deployments)], Policies[0], randomFaults(seed), safetyLength, seed)
+			result := Run(deployments[n%len(deployments)], Policies[0], randomFaults(seed), safetyRunDuration, seed)
 			requests.Add(result.Requests)
 			refusals.Add(result.FalseRefusals)
 			if result.Overspent > 0 {
--- a/pkg/experiment/table.go
+++ b/pkg/experiment/table.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Plan says what the tables are made from.
+// Plan selects the runs that the tables are made from.
 type Plan struct {
-	// Minutes is the virtual length of a run; Seeds the runs of each cell.
+	// Minutes is the virtual time of a run; Seeds is the number of runs of each cell.
 	Minutes, Seeds int
-	// Only keeps the scenarios whose name contains it.
-	Only string
+	// ScenarioFilter selects the scenarios whose name contains it.
+	ScenarioFilter string
 }
 
-// cell is one policy under one scenario at one deployment, over all seeds.
+// cell sums up the runs of one policy under one scenario at one deployment, over all seeds.
 type cell struct {
 	deployment, scenario, policy int
 	sum                          Result
@@ -28,29 +28,29 @@
 	c.sum.FalseRefusals += r.FalseRefusals
 	c.sum.Overspent += r.Overspent
 	c.sum.Prepaid += r.Prepaid
-	c.sum.InDoubt = max(c.sum.InDoubt, r.InDoubt)
+	c.sum.MaxInDoubt = max(c.sum.MaxInDoubt, r.MaxInDoubt)
 	c.sum.InDoubtAtEnd = max(c.sum.InDoubtAtEnd, r.InDoubtAtEnd)
 	c.sum.StoreCalls += r.StoreCalls
-	c.sum.Length += r.Length
+	c.sum.Duration += r.Duration
 }
 
-func (c *cell) falseRefusals() float64 {
+func (c *cell) falseRefusalPercent() float64 {
 	return 100 * float64(c.sum.FalseRefusals) / float64(max(c.sum.Requests, 1))
 }
 
-func (c *cell) overspent() float64 {
+func (c *cell) overspentPercent() float64 {
 	return 100 * float64(c.sum.Overspent) / float64(max(c.sum.Prepaid, 1))
 }
 
 func (c *cell) callsPerSecond() float64 {
-	return float64(c.sum.StoreCalls) / c.sum.Length.Seconds()
+	return float64(c.sum.StoreCalls) / c.sum.Duration.Seconds()
 }
 
 var deployments = []Deployment{Sirajganj, BetuweOost}
 
-// Tables runs the plan and prints a table for each deployment.
-func Tables(out io.Writer, plan Plan) error {
-	scenarios := selected(plan.Only)
+// PrintTables runs the plan and prints the tables of each deployment.
+func PrintTables(out io.Writer, plan Plan) error {
+	scenarios := filterScenarios(plan.ScenarioFilter)
 	cells := runAll(plan, scenarios)
 	for d, deployment := range deployments {
 		if err := printDeployment(out, deployment, plan, scenarios, cells[d]); err != nil {
@@ -60,19 +60,19 @@
 	return nil
 }
 
-func selected(only string) []Scenario {
+func filterScenarios(filter string) []Scenario {
 	var out []Scenario
 	for _, s := range Scenarios {
-		if strings.Contains(s.Name, only) {
+		if strings.Contains(s.Name, filter) {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// runAll fills cells[deployment][scenario][policy], several runs at once.
+// runAll returns the cells by deployment, scenario and policy. Half of the processors run at once.
 func runAll(plan Plan, scenarios []Scenario) [][][]*cell {
-	length := time.Duration(plan.Minutes) * time.Minute
+	duration := time.Duration(plan.Minutes) * time.Minute
 	limit := make(chan struct{}, max(runtime.NumCPU()/2, 1))
 	var runs sync.WaitGroup
 	var mu sync.Mutex
@@ -86,7 +86,7 @@
 				for seed := range plan.Seeds {
 					limit <- struct{}{}
 					runs.Go(func() {
-						result := Run(deployments[d], Policies[p], scenarios[s], length, uint64(seed+1))
+						result := Run(deployments[d], Policies[p], scenarios[s], duration, uint64(seed+1))
 						mu.Lock()
 						c.add(result)
 						mu.Unlock()
@@ -113,8 +113,8 @@
 	for s, scenario := range scenarios {
 		fmt.Fprintf(&text, "| %s |", scenario.Name)
 		for p := range Policies {
-			sums[p] += cells[s][p].falseRefusals()
-			fmt.Fprintf(&text, " %.2f |", cells[s][p].falseRefusals())
+			sums[p] += cells[s][p].falseRefusalPercent()
+			fmt.Fprintf(&text, " %.2f |", cells[s][p].falseRefusalPercent())
 		}
 		text.WriteString("\n")
 	}
@@ -128,8 +128,7 @@
 	return err
 }
 
-// Weightings of the two deployments: what a percent of overspending weighs
-// against a percent of false refusals.
+// Weight of a percent of overspending, in percents of false refusals, at the two deployments.
 const (
 	sirajganjOverspendWeight  = 100
 	betuweOostOverspendWeight = 10
@@ -143,10 +142,10 @@
 		var overspent float64
 		for s := range cells {
 			total.add(cells[s][p].sum)
-			overspent += cells[s][p].overspent()
+			overspent += cells[s][p].overspentPercent()
 		}
 		fmt.Fprintf(text, "| %s | %d | %.3f | %d | %d | %.2f | %.1f | %.1f |\n",
-			policy.Name, total.sum.Overspent, total.overspent(), total.sum.InDoubt, total.sum.InDoubtAtEnd,
+			policy.Name, total.sum.Overspent, total.overspentPercent(), total.sum.MaxInDoubt, total.sum.InDoubtAtEnd,
 			total.callsPerSecond(), sums[p]+sirajganjOverspendWeight*overspent, sums[p]+betuweOostOverspendWeight*overspent)
 	}
 	text.WriteString("\n")
