--- a/pkg/experiment/blame/request.go
+++ b/pkg/experiment/blame/request.go
@@ -9,14 +9,14 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine"
 )
 
-// request is one request of a caller, with all its sendings.
+// request is one request of a client. The client may send it several times.
 type request struct {
 	body  string
 	fatal bool
-	// tries is how often its caller still sends it.
-	tries int
-	// beside says that it ran at an upstream that crashed.
-	beside bool
+	// triesLeft is how many times its client may still send it.
+	triesLeft int
+	// besideCrash reports whether the request, a harmless one, ran at an upstream that crashed.
+	besideCrash bool
 }
 
 // Fingerprint implements quarantine.Request.
@@ -24,62 +24,62 @@
 	return fingerprint.Of("crew", "", fingerprint.Content("POST", "/", []byte(r.body)))
 }
 
-// attempt is one run of a request.
+// attempt is one run of a request at an upstream.
 type attempt struct {
-	request *request
-	at      int // the instance
-	run     quarantine.Run
-	left    int // attempts that its sending still has
+	request      *request
+	instance     int // index of the instance that sends it
+	run          quarantine.Run
+	attemptsLeft int // attempts that the instance may still make
 }
 
-// send sends a request at any instance.
-func (w *world) send(r *request) {
-	r.tries--
-	w.try(r, w.rng.IntN(len(w.tables)), attempts)
+// send has a client send a request to a random instance.
+func (w *simulation) send(r *request) {
+	r.triesLeft--
+	w.sendToUpstream(r, w.rng.IntN(len(w.tables)), maxAttempts)
 }
 
-// try has an instance send a request to one more upstream.
-func (w *world) try(r *request, at, left int) {
-	a := &attempt{request: r, at: at, left: left - 1}
-	if table := w.tables[at]; table != nil {
+// sendToUpstream has an instance send a request to an upstream; attemptsLeft counts this attempt.
+func (w *simulation) sendToUpstream(r *request, instance, attemptsLeft int) {
+	a := &attempt{request: r, instance: instance, attemptsLeft: attemptsLeft - 1}
+	if table := w.tables[instance]; table != nil {
 		run, err := table.Begin(r, w.clock())
 		if err != nil {
-			w.refused(r, err)
+			w.requestRefused(r, err)
 			return
 		}
-		w.tell(at)
+		w.sendRecords(instance)
 		a.run = run
 	}
-	u := w.choose()
+	u := w.pickUpstream()
 	if u == nil {
-		w.failed(a)
+		w.attemptFailed(a)
 		return
 	}
 	u.running[a] = true
 	incarnation := u.incarnation
-	work := time.Duration(w.rng.ExpFloat64() * float64(workMean))
+	work := time.Duration(w.rng.ExpFloat64() * float64(meanRunTime))
 	if r.fatal {
-		work = 1 + w.upTo(fatalWork)
+		work = 1 + w.drawBelow(maxFatalRunTime)
 	}
 	w.after(work, func() {
 		if u.incarnation != incarnation || !u.running[a] {
-			return // it crashed with the upstream
+			return // the upstream crashed while the request ran
 		}
 		if r.fatal {
-			w.fatal[r.body] = append(w.fatal[r.body], w.Now())
-			w.crash(u)
+			w.crashTimes[r.body] = append(w.crashTimes[r.body], w.Now())
+			w.crashUpstream(u)
 			return
 		}
 		delete(u.running, a)
-		if table := w.tables[at]; table != nil {
+		if table := w.tables[instance]; table != nil {
 			a.run.Answered()
-			w.tell(at)
+			w.sendRecords(instance)
 		}
 	})
 }
 
-// choose returns an upstream that is up, the less loaded of two.
-func (w *world) choose() *upstream {
+// pickUpstream draws two upstreams that are up and returns the less loaded one; nil if none is up.
+func (w *simulation) pickUpstream() *upstream {
 	var up []*upstream
 	for _, u := range w.upstreams {
 		if w.Now() >= u.downUntil {
@@ -96,68 +96,70 @@
 	return a
 }
 
-// crash ends an upstream and all that runs there.
-func (w *world) crash(u *upstream) {
+// crashUpstream crashes an upstream and fails all attempts that run there.
+func (w *simulation) crashUpstream(u *upstream) {
 	if w.Now() < u.downUntil {
 		return
 	}
-	victims := u.running
+	lost := u.running
 	name := fmt.Sprint(u.name, "-", u.incarnation)
 	u.incarnation++
-	u.downUntil = w.Now() + downFor
+	u.downUntil = w.Now() + restartTime
 	u.running = map[*attempt]bool{}
-	for _, a := range ordered(victims) {
-		if !a.request.fatal && !a.request.beside {
-			a.request.beside = true
-			w.result.Beside++
+	for _, a := range sortAttempts(lost) {
+		if !a.request.fatal && !a.request.besideCrash {
+			a.request.besideCrash = true
+			w.result.BesideCrash++
 		}
-		w.judge(a, name)
+		w.judgeCrash(a, name)
 	}
 }
 
-// judge has the instance of an attempt note the crash, and goes on once it is judged.
-func (w *world) judge(a *attempt, upstream string) {
-	table := w.tables[a.at]
+// judgeCrash has the instance of an attempt record the crash of its upstream, and goes on once the
+// crash has been judged.
+func (w *simulation) judgeCrash(a *attempt, upstream string) {
+	table := w.tables[a.instance]
 	if table == nil {
-		w.failed(a)
+		w.attemptFailed(a)
 		return
 	}
 	crash := a.run.Crashed(quarantine.Origin{Account: "crew"}, quarantine.Upstream{ID: upstream, Address: upstream, Incarnation: upstream}, w.clock())
-	w.tell(a.at)
+	w.sendRecords(a.instance)
 	wait := time.Duration(0)
 	if !crash.IsFirst() {
 		wait = quarantine.JudgeAfter
 	}
 	w.after(wait, func() {
 		record := crash.Judge()
-		w.tell(a.at)
+		w.sendRecords(a.instance)
 		if record.IsCondemned() && !a.request.fatal {
-			w.condemned[record.Fingerprint] = true
+			w.condemnedHarmless[record.Fingerprint] = true
 		}
-		w.failed(a)
+		w.attemptFailed(a)
 	})
 }
 
-// failed goes on after an attempt that gave no answer.
-func (w *world) failed(a *attempt) {
-	if a.left > 0 {
-		w.try(a.request, a.at, a.left)
+// attemptFailed tries another upstream or has the client retry, after an attempt without an answer.
+func (w *simulation) attemptFailed(a *attempt) {
+	if a.attemptsLeft > 0 {
+		w.sendToUpstream(a.request, a.instance, a.attemptsLeft)
 		return
 	}
-	w.sendAgain(a.request)
+	w.retry(a.request)
 }
 
-func (w *world) refused(r *request, err error) {
+// requestRefused has the client retry a request that its instance refused, unless it is condemned.
+func (w *simulation) requestRefused(r *request, err error) {
 	if errors.Is(err, quarantine.ErrCondemned) {
-		r.tries = 0 // its answer says not to come back
+		r.triesLeft = 0 // the answer tells the client not to retry
 	}
-	w.sendAgain(r)
+	w.retry(r)
 }
 
-// sendAgain has the caller send a request again, if it does.
-func (w *world) sendAgain(r *request) {
-	if r.tries > 0 {
-		w.after(callerPause+w.upTo(callerPause), func() { w.send(r) })
+// retry has the client send a request again after a pause, if it has tries left.
+func (w *simulation) retry(r *request) {
+	if r.triesLeft > 0 {
+		w.after(minRetryPause+w.drawBelow(minRetryPause), func() { w.send(r) })
 		return
 	}
 	if !r.fatal {
--- a/pkg/experiment/blame/scenario.go
+++ b/pkg/experiment/blame/scenario.go
@@ -8,16 +8,16 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine"
 )
 
-// Sizes are those that the policies are compared at.
+// Sizes are the fleet sizes that the policies are compared at.
 var Sizes = []Size{{Instances: 7, Upstreams: 16}, {Instances: 63, Upstreams: 48}}
 
-// NamedPolicy is a policy in a table; nil is no quarantine.
+// NamedPolicy is a policy and its name in tables; a nil policy means no quarantine.
 type NamedPolicy struct {
 	Name   string
 	Policy *quarantine.Policy
 }
 
-// Policies are what is compared.
+// Policies are the policies that are compared.
 var Policies = []NamedPolicy{
 	{"none", nil},
 	{"three crashes", &quarantine.Policy{}},
@@ -25,69 +25,69 @@
 	{"and judged by what else crashes", &quarantine.DefaultPolicy},
 }
 
-// Scenarios are the histories.
+// Scenarios are the scenarios that the policies are compared in.
 var Scenarios = []Scenario{
-	{Name: "one fatal body, 0.2 a second", Fatal: 1, FatalPerSecond: 0.2},
-	{Name: "one, 5 a second", Fatal: 1, FatalPerSecond: 5},
-	{Name: "one, 50 a second", Fatal: 1, FatalPerSecond: 50},
-	{Name: "five, 5 a second each", Fatal: 5, FatalPerSecond: 5},
-	{Name: "a domain at once, three times", Others: domains},
-	{Name: "half at once, each 2.5 s", Others: halves},
-	{Name: "a release, one each second", Others: inTurn(time.Second)},
-	{Name: "a tenth each ten seconds, one by one", Others: tenths},
-	{Name: "two fatal ones in a release", Fatal: 2, FatalPerSecond: 5, Others: inTurn(time.Second)},
+	{Name: "one fatal body, 0.2 a second", FatalBodies: 1, FatalPerSecond: 0.2},
+	{Name: "one, 5 a second", FatalBodies: 1, FatalPerSecond: 5},
+	{Name: "one, 50 a second", FatalBodies: 1, FatalPerSecond: 50},
+	{Name: "five, 5 a second each", FatalBodies: 5, FatalPerSecond: 5},
+	{Name: "a domain at once, three times", OtherCrashes: crashDomains},
+	{Name: "half at once, each 2.5 s", OtherCrashes: crashHalves},
+	{Name: "a release, one each second", OtherCrashes: crashInTurn(time.Second)},
+	{Name: "a tenth each ten seconds, one by one", OtherCrashes: crashTenths},
+	{Name: "two fatal ones in a release", FatalBodies: 2, FatalPerSecond: 5, OtherCrashes: crashInTurn(time.Second)},
 }
 
-// from is when crashes of other causes begin.
-const from = 5 * time.Second
+// firstCrashAt is when the first crash for another reason than a fatal request happens.
+const firstCrashAt = 5 * time.Second
 
-// domains crashes a quarter of the upstreams at once, three times.
-func domains(w *world) {
+// crashDomains crashes a quarter of the upstreams at once, three times.
+func crashDomains(w *simulation) {
 	for n := range 3 {
-		w.after(from+time.Duration(n)*8*time.Second, func() {
+		w.after(firstCrashAt+time.Duration(n)*8*time.Second, func() {
 			for k, u := range w.upstreams {
 				if k%4 == n {
-					w.crash(u)
+					w.crashUpstream(u)
 				}
 			}
 		})
 	}
 }
 
-// halves crashes half of the upstreams at once, again and again.
-func halves(w *world) {
-	for at := from; at < length; at += 2500 * time.Millisecond {
+// crashHalves crashes a random half of the upstreams at once, every 2.5 seconds.
+func crashHalves(w *simulation) {
+	for at := firstCrashAt; at < historyDuration; at += 2500 * time.Millisecond {
 		w.after(at, func() {
 			for _, n := range w.rng.Perm(len(w.upstreams))[:len(w.upstreams)/2] {
-				w.crash(w.upstreams[n])
+				w.crashUpstream(w.upstreams[n])
 			}
 		})
 	}
 }
 
-// inTurn crashes one upstream after the other.
-func inTurn(every time.Duration) func(w *world) {
-	return func(w *world) {
-		for n := 0; from+time.Duration(n)*every < length; n++ {
-			w.after(from+time.Duration(n)*every, func() { w.crash(w.upstreams[n%len(w.upstreams)]) })
+// crashInTurn crashes one upstream after the other, one each interval.
+func crashInTurn(interval time.Duration) func(w *simulation) {
+	return func(w *simulation) {
+		for n := 0; firstCrashAt+time.Duration(n)*interval < historyDuration; n++ {
+			w.after(firstCrashAt+time.Duration(n)*interval, func() { w.crashUpstream(w.upstreams[n%len(w.upstreams)]) })
 		}
 	}
 }
 
-// tenths crashes a tenth of the upstreams one by one within each ten seconds.
-func tenths(w *world) {
-	every := 10 * time.Second / time.Duration(max(len(w.upstreams)/10, 1))
-	inTurn(every)(w)
+// crashTenths crashes a tenth of the upstreams, one by one, in every ten seconds.
+func crashTenths(w *simulation) {
+	interval := 10 * time.Second / time.Duration(max(len(w.upstreams)/10, 1))
+	crashInTurn(interval)(w)
 }
 
-// ordered returns attempts in an order that does not change from run to run.
-func ordered(attempts map[*attempt]bool) []*attempt {
+// sortAttempts returns attempts in an order that is the same in every run.
+func sortAttempts(attempts map[*attempt]bool) []*attempt {
 	out := make([]*attempt, 0, len(attempts))
 	for a := range attempts {
 		out = append(out, a)
 	}
 	slices.SortFunc(out, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.request.body, b.request.body), cmp.Compare(a.at, b.at), cmp.Compare(a.left, b.left))
+		return cmp.Or(cmp.Compare(a.request.body, b.request.body), cmp.Compare(a.instance, b.instance), cmp.Compare(a.attemptsLeft, b.attemptsLeft))
 	})
 	return out
 }
--- a/pkg/experiment/blame/table.go
+++ b/pkg/experiment/blame/table.go
@@ -8,18 +8,18 @@
 	"sync"
 )
 
-// cell is one policy in one scenario at one size, over all seeds.
+// cell sums up the runs of one policy in one scenario at one size, over all seeds.
 type cell struct {
 	sum Result
-	// crashes holds the most crashes by a fatal request of each seed.
+	// crashes holds, for each seed, the number of crashes of the fatal request that caused most.
 	crashes []int
 }
 
-// Compare plays all policies in all scenarios on the same seeds and prints a table a size. plot, if
-// not nil, gets a plot of the smallest size as SVG.
+// Compare simulates all policies in all scenarios on the same seeds and prints a table for each
+// size. If plot is not nil, it receives a plot of the first size as SVG.
 func Compare(out, plot io.Writer, seeds int, sizes []Size) error {
 	for n, size := range sizes {
-		cells := play(size, seeds)
+		cells := simulateAll(size, seeds)
 		if err := printTable(out, size, seeds, cells); err != nil {
 			return err
 		}
@@ -32,29 +32,29 @@
 	return nil
 }
 
-// play returns the cells by scenario and policy, half of the processors at work.
-func play(size Size, seeds int) [][]cell {
+// simulateAll returns the cells by scenario and policy. It uses half of the processors.
+func simulateAll(size Size, seeds int) [][]cell {
 	cells := make([][]cell, len(Scenarios))
 	var mu sync.Mutex
-	var playing sync.WaitGroup
+	var runs sync.WaitGroup
 	limit := make(chan struct{}, max(runtime.NumCPU()/2, 1))
 	for s := range Scenarios {
 		cells[s] = make([]cell, len(Policies))
 		for p := range Policies {
 			for seed := range seeds {
-				playing.Go(func() {
+				runs.Go(func() {
 					limit <- struct{}{}
 					defer func() { <-limit }()
-					result := Play(size, Scenarios[s], Policies[p].Policy, uint64(seed))
+					result := Simulate(size, Scenarios[s], Policies[p].Policy, uint64(seed))
 					mu.Lock()
 					defer mu.Unlock()
 					cells[s][p].sum.add(result)
-					cells[s][p].crashes = append(cells[s][p].crashes, result.MostCrashes)
+					cells[s][p].crashes = append(cells[s][p].crashes, result.MaxCrashes)
 				})
 			}
 		}
 	}
-	playing.Wait()
+	runs.Wait()
 	return cells
 }
 
@@ -66,9 +66,9 @@
 	for s, scenario := range Scenarios {
 		for p, policy := range Policies {
 			c := &cells[s][p]
-			least, mean, most := spread(c.crashes)
+			least, mean, most := minMeanMax(c.crashes)
 			fmt.Fprintf(&b, "| %s | %s | %d, %.1f, %d | %d | %.2f | %d of %d |\n", scenario.Name, policy.Name,
-				least, mean, most, c.sum.Late, notServed(c), c.sum.Condemned, c.sum.Beside)
+				least, mean, most, c.sum.LateCrashes, failedPercent(c), c.sum.Condemned, c.sum.BesideCrash)
 		}
 	}
 	b.WriteString("\n")
@@ -76,9 +76,12 @@
 	return err
 }
 
-func notServed(c *cell) float64 { return 100 * float64(c.sum.Failed) / float64(max(c.sum.Sound, 1)) }
+// failedPercent returns the percentage of harmless requests that were not served.
+func failedPercent(c *cell) float64 {
+	return 100 * float64(c.sum.Failed) / float64(max(c.sum.Harmless, 1))
+}
 
-func spread(figures []int) (least int, mean float64, most int) {
+func minMeanMax(figures []int) (least int, mean float64, most int) {
 	least = figures[0]
 	sum := 0
 	for _, f := range figures {
@@ -87,12 +90,12 @@
 	return least, float64(sum) / float64(len(figures)), most
 }
 
-// Measures of the plot, in pixels.
+// Dimensions of the plot, in pixels; plotScale is the width of one percent.
 const (
 	plotWidth, plotLeft, plotBar, plotGap, plotScale = 900, 300, 12, 18, 5.0
 )
 
-// printPlot draws the share of sound requests that were not served.
+// printPlot draws the percentage of harmless requests that were not served.
 func printPlot(out io.Writer, size Size, cells [][]cell) error {
 	var b strings.Builder
 	height := 60 + len(Scenarios)*(len(Policies)*plotBar+plotGap)
@@ -106,7 +109,7 @@
 	for s, scenario := range Scenarios {
 		fmt.Fprintf(&b, `<text x="10" y="%d">%s</text>`+"\n", y+plotBar, scenario.Name)
 		for p := range Policies {
-			share := notServed(&cells[s][p])
+			share := failedPercent(&cells[s][p])
 			fmt.Fprintf(&b, `<rect x="%d" y="%d" width="%.1f" height="%d" fill="%s"/>`+"\n", plotLeft, y, share*plotScale, plotBar-2, colors[p])
 			fmt.Fprintf(&b, `<text x="%.1f" y="%d">%.2f</text>`+"\n", plotLeft+share*plotScale+4, y+plotBar-3, share)
 			y += plotBar
--- a/pkg/experiment/blame/world.go
+++ b/pkg/experiment/blame/world.go
@@ -1,6 +1,6 @@
-// Package blame plays fleets whose upstreams crash, in virtual time, and compares policies of the
-// quarantine on the same drawn histories: how many upstreams one request ends, and how many sound
-// requests are taken for it.
+// Package blame simulates, in virtual time, fleets whose upstreams crash, and compares policies of
+// the quarantine on the same random histories: how many upstreams one fatal request crashes, and
+// how many harmless requests are condemned by mistake.
 package blame
 
 import (
@@ -13,80 +13,85 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine"
 )
 
-// Figures of every history.
+// Parameters of every history.
 const (
-	// length is its virtual time.
-	length = 40 * time.Second
-	// soundPerSecond is how many sound requests come for each upstream in a second; workMean is
-	// how long one runs on average.
-	soundPerSecond = 8
-	workMean       = 400 * time.Millisecond
-	// hotShare is the part of sound requests that have one of hotBodies bodies.
-	hotShare  = 0.05
-	hotBodies = 20
-	// callerTries is how often a caller sends a request whose sending failed, after callerPause.
-	callerTries = 3
-	callerPause = 100 * time.Millisecond
-	// attempts is how many upstreams one sending may reach.
-	attempts = 2
-	// fatalWork is how long a fatal request runs at most before its upstream crashes.
-	fatalWork = 150 * time.Millisecond
-	// downFor is how long a crashed upstream is away.
-	downFor = 2 * time.Second
-	// lossOf is how many of a hundred messages are lost; what is lost is found by comparing
-	// tables within comparedAfter.
-	lossOf        = 1
-	comparedAfter = 400 * time.Millisecond
-	// messageTime is that of one message, hopTime what each further one adds in a large fleet.
-	messageTime = 5 * time.Millisecond
-	hopTime     = 15 * time.Millisecond
-	// directMost is the size up to which all others are told at once.
-	directMost = 7
+	// historyDuration is the virtual time in which requests arrive.
+	historyDuration = 40 * time.Second
+	// harmlessPerSecond is the number of harmless requests that arrive in a second for each
+	// upstream; meanRunTime is how long one runs on average.
+	harmlessPerSecond = 8
+	meanRunTime       = 400 * time.Millisecond
+	// sharedBodyShare is the share of harmless requests that have one of numSharedBodies bodies.
+	// The others have a body of their own.
+	sharedBodyShare = 0.05
+	numSharedBodies = 20
+	// clientTries is how many times a client sends a request that fails. It pauses for
+	// minRetryPause to twice that time before a retry.
+	clientTries   = 3
+	minRetryPause = 100 * time.Millisecond
+	// maxAttempts is the number of upstreams that an instance tries for a request of a client.
+	maxAttempts = 2
+	// maxFatalRunTime bounds how long a fatal request runs before its upstream crashes.
+	maxFatalRunTime = 150 * time.Millisecond
+	// restartTime is how long a crashed upstream is down.
+	restartTime = 2 * time.Second
+	// messageLossPercent is the share of messages that are lost. Instances find lost records by
+	// comparing their tables, within maxCompareDelay.
+	messageLossPercent = 1
+	maxCompareDelay    = 400 * time.Millisecond
+	// messageDelay is the latency of a message. In a large fleet, records reach an instance over
+	// up to four more messages, and hopDelay is the time that each of them adds.
+	messageDelay = 5 * time.Millisecond
+	hopDelay     = 15 * time.Millisecond
+	// maxDirectInstances is the fleet size up to which records are sent directly to all others.
+	maxDirectInstances = 7
 )
 
-// Scenario is what happens in a history.
+// Scenario describes the causes of crashes in a history.
 type Scenario struct {
 	Name string
-	// Fatal is how many bodies crash what runs them, each sent FatalPerSecond times a second.
-	Fatal          int
+	// FatalBodies is the number of bodies that crash the upstream which runs them. Each is sent
+	// FatalPerSecond times a second.
+	FatalBodies    int
 	FatalPerSecond float64
-	// Others has upstreams crash of other causes; nil for none.
-	Others func(w *world)
+	// OtherCrashes schedules crashes of upstreams for other reasons; nil for none.
+	OtherCrashes func(w *simulation)
 }
 
-// Size is how large a fleet is.
+// Size is the size of a fleet.
 type Size struct{ Instances, Upstreams int }
 
-// Result is what a history showed.
+// Result holds the outcome of a history.
 type Result struct {
-	// Sound is how many sound requests came, Failed how many of them no sending served.
-	Sound, Failed int
-	// Beside is how many sound requests ran at upstreams that crashed, Condemned how many of
-	// them were condemned.
-	Beside, Condemned int
-	// MostCrashes is how many upstreams the worst fatal request ended, Late how many of all ended
-	// more than a second after its third.
-	MostCrashes, Late int
+	// Harmless is the number of harmless requests; Failed is the number of them that were not
+	// served in any of their tries.
+	Harmless, Failed int
+	// BesideCrash is the number of harmless requests that ran at an upstream that crashed;
+	// Condemned is the number of distinct fingerprints condemned among them.
+	BesideCrash, Condemned int
+	// MaxCrashes is the number of crashes under the fatal body that caused most. LateCrashes is the
+	// number of crashes, under all fatal bodies, more than a second after the third of their body.
+	MaxCrashes, LateCrashes int
 }
 
 func (r *Result) add(o Result) {
-	r.Sound += o.Sound
+	r.Harmless += o.Harmless
 	r.Failed += o.Failed
-	r.Beside += o.Beside
+	r.BesideCrash += o.BesideCrash
 	r.Condemned += o.Condemned
-	r.MostCrashes = max(r.MostCrashes, o.MostCrashes)
-	r.Late += o.Late
+	r.MaxCrashes = max(r.MaxCrashes, o.MaxCrashes)
+	r.LateCrashes += o.LateCrashes
 }
 
-// world is one history.
-type world struct {
+// simulation is one history.
+type simulation struct {
 	emulator.World
-	rng       *rand.Rand
-	tables    []*quarantine.Table
-	upstreams []*upstream
-	fatal     map[string][]time.Duration
-	condemned map[fingerprint.Fingerprint]bool
-	result    Result
+	rng               *rand.Rand
+	tables            []*quarantine.Table
+	upstreams         []*upstream
+	crashTimes        map[string][]time.Duration
+	condemnedHarmless map[fingerprint.Fingerprint]bool
+	result            Result
 }
 
 // upstream is one upstream; its incarnation rises with each crash.
@@ -97,12 +102,12 @@
 	running     map[*attempt]bool
 }
 
-// Play plays a history with a policy; nil for no quarantine at all.
-func Play(size Size, scenario Scenario, policy *quarantine.Policy, seed uint64) Result {
-	w := &world{
-		rng:       rand.New(rand.NewPCG(seed, 3)),
-		fatal:     map[string][]time.Duration{},
-		condemned: map[fingerprint.Fingerprint]bool{},
+// Simulate simulates a history under a policy; nil means no quarantine.
+func Simulate(size Size, scenario Scenario, policy *quarantine.Policy, seed uint64) Result {
+	w := &simulation{
+		rng:               rand.New(rand.NewPCG(seed, 3)),
+		crashTimes:        map[string][]time.Duration{},
+		condemnedHarmless: map[fingerprint.Fingerprint]bool{},
 	}
 	for n := range size.Instances {
 		if policy != nil {
@@ -114,53 +119,56 @@
 	for n := range size.Upstreams {
 		w.upstreams = append(w.upstreams, &upstream{name: fmt.Sprint("u", n), running: map[*attempt]bool{}})
 	}
-	w.sendSound(time.Second / time.Duration(soundPerSecond*size.Upstreams))
-	for n := range scenario.Fatal {
+	w.sendHarmless(time.Second / time.Duration(harmlessPerSecond*size.Upstreams))
+	for n := range scenario.FatalBodies {
 		w.sendFatal(fmt.Sprint("fatal-", n), time.Duration(float64(time.Second)/scenario.FatalPerSecond))
 	}
-	if scenario.Others != nil {
-		scenario.Others(w)
+	if scenario.OtherCrashes != nil {
+		scenario.OtherCrashes(w)
 	}
 	w.Run()
-	w.count()
+	w.collectResult()
 	return w.result
 }
 
-func (w *world) after(wait time.Duration, what func()) { w.At(w.Now()+wait, what) }
+// after schedules an action for a time from now.
+func (w *simulation) after(delay time.Duration, action func()) { w.At(w.Now()+delay, action) }
 
-// clock is the time as tables see it.
-func (w *world) clock() time.Time { return time.Unix(0, 0).Add(w.Now()) }
+// clock returns the virtual time as the time.Time that tables take.
+func (w *simulation) clock() time.Time { return time.Unix(0, 0).Add(w.Now()) }
 
-// upTo draws a time below a bound.
-func (w *world) upTo(bound time.Duration) time.Duration {
+// drawBelow draws a duration below a bound.
+func (w *simulation) drawBelow(bound time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(bound)))
 }
 
-// sendSound has sound requests come with a mean time between them.
-func (w *world) sendSound(between time.Duration) {
-	if w.Now() > length {
+// sendHarmless sends a harmless request and schedules the next one; between is the mean time
+// between two.
+func (w *simulation) sendHarmless(between time.Duration) {
+	if w.Now() > historyDuration {
 		return
 	}
-	w.result.Sound++
-	body := fmt.Sprint("sound-", w.result.Sound)
-	if w.rng.Float64() < hotShare {
-		body = fmt.Sprint("hot-", w.rng.IntN(hotBodies))
+	w.result.Harmless++
+	body := fmt.Sprint("sound-", w.result.Harmless)
+	if w.rng.Float64() < sharedBodyShare {
+		body = fmt.Sprint("hot-", w.rng.IntN(numSharedBodies))
 	}
-	w.send(&request{body: body, tries: callerTries})
-	w.after(time.Duration(w.rng.ExpFloat64()*float64(between)), func() { w.sendSound(between) })
+	w.send(&request{body: body, triesLeft: clientTries})
+	w.after(time.Duration(w.rng.ExpFloat64()*float64(between)), func() { w.sendHarmless(between) })
 }
 
-// sendFatal has one fatal request come again and again.
-func (w *world) sendFatal(body string, between time.Duration) {
-	if w.Now() > length {
+// sendFatal sends a request with a fatal body and schedules the next one; between is the mean time
+// between two.
+func (w *simulation) sendFatal(body string, between time.Duration) {
+	if w.Now() > historyDuration {
 		return
 	}
-	w.send(&request{body: body, fatal: true, tries: 1})
-	w.after(between/2+w.upTo(between), func() { w.sendFatal(body, between) })
+	w.send(&request{body: body, fatal: true, triesLeft: 1})
+	w.after(between/2+w.drawBelow(between), func() { w.sendFatal(body, between) })
 }
 
-// tell has the other instances learn what an instance has just learned.
-func (w *world) tell(from int) {
+// sendRecords sends the pending records of an instance to the others.
+func (w *simulation) sendRecords(from int) {
 	records := w.tables[from].News()
 	if len(records) == 0 {
 		return
@@ -169,26 +177,26 @@
 		if to == from {
 			continue
 		}
-		wait := messageTime
-		if len(w.tables) > directMost {
-			wait += w.upTo(4 * hopTime)
+		wait := messageDelay
+		if len(w.tables) > maxDirectInstances {
+			wait += w.drawBelow(4 * hopDelay)
 		}
-		if w.rng.IntN(100) < lossOf {
-			wait += w.upTo(comparedAfter)
+		if w.rng.IntN(100) < messageLossPercent {
+			wait += w.drawBelow(maxCompareDelay)
 		}
 		w.after(wait, func() { table.Merge(records, w.clock(), false) })
 	}
 }
 
-// count takes the results from what happened.
-func (w *world) count() {
-	for _, times := range w.fatal {
-		w.result.MostCrashes = max(w.result.MostCrashes, len(times))
+// collectResult derives the result from the crashes and verdicts of the history.
+func (w *simulation) collectResult() {
+	for _, times := range w.crashTimes {
+		w.result.MaxCrashes = max(w.result.MaxCrashes, len(times))
 		for n, at := range times {
 			if n >= quarantine.CondemnAfter && at-times[quarantine.CondemnAfter-1] > time.Second {
-				w.result.Late++
+				w.result.LateCrashes++
 			}
 		}
 	}
-	w.result.Condemned = len(w.condemned)
+	w.result.Condemned = len(w.condemnedHarmless)
 }
