--- a/pkg/experiment/coldstart/coldstart.go
+++ b/pkg/experiment/coldstart/coldstart.go
@@ -1,5 +1,6 @@
-// Package coldstart compares, in virtual time, ways to bound what a fleet sends to one upstream that
-// has just started and crashes above a number of requests in a second.
+// Package coldstart compares, in virtual time, policies that bound how many requests a fleet sends
+// to one cold upstream: one that has just started and crashes above a number of requests in a
+// second.
 package coldstart
 
 import (
@@ -12,63 +13,67 @@
 	"github.com/lavenderring/lavenderring/pkg/coldlimit"
 )
 
-// Figures of a history.
+// Parameters of a history.
 const (
-	// length is that of a history; the upstream is cold from coldAt on.
-	length  = 6 * time.Second
-	coldAt  = 2 * time.Second
-	coldFor = 3 * time.Second
-	// perSecond is the usual load of one upstream, loadFactor times it comes here, and as much again
-	// times hotFactor in every second history, for one hot session.
-	perSecond  = 6
-	loadFactor = 4
-	hotFactor  = 3
-	// lateNews bounds the time after which an instance knows that the upstream is cold.
-	lateNews = time.Second
-	// sides is into how many parts the fleet may be cut.
-	sides = 3
-	// lossIn is in one of how many histories all instances are lost at a drawn time.
-	lossIn = 4
+	// historyDuration is the virtual time of a history. The upstream is cold from coldStart on, for
+	// coldDuration.
+	historyDuration = 6 * time.Second
+	coldStart       = 2 * time.Second
+	coldDuration    = 3 * time.Second
+	// usualPerSecond is the usual request rate of one upstream. The rate here is loadFactor times
+	// that; in half of the histories, one hot session adds hotSessionFactor times as much again.
+	usualPerSecond   = 6
+	loadFactor       = 4
+	hotSessionFactor = 3
+	// maxLearnDelay bounds the delay after which an instance knows that the upstream is cold.
+	maxLearnDelay = time.Second
+	// maxSides is the largest number of sides of a partition of the fleet.
+	maxSides = 3
+	// restartOneIn is n where, in one of n histories, all instances restart at a random time and
+	// lose their state.
+	restartOneIn = 4
 )
 
-// bound is that of the upstream.
-var bound = coldlimit.Bound{PerSecond: 12, Overage: 1.5, Slack: 5}
+// coldBound is the bound of the upstream while it is cold.
+var coldBound = coldlimit.Bound{PerSecond: 12, Overage: 1.5, Slack: 5}
 
-// Sizes are the fleets that are compared.
+// Sizes are the numbers of instances that the policies are compared at.
 var Sizes = []int{7, 90, 300}
 
-// Policy is a way to bound what is sent.
+// Policy is a way to bound the requests that a fleet sends to a cold upstream.
 type Policy struct {
 	Name string
-	// start returns the limit of an instance that starts.
-	start func(self string, names func() []string, now func() time.Time) limit
+	// newLimiter returns the limiter of an instance that starts.
+	newLimiter func(self string, names func() []string, now func() time.Time) limiter
 }
 
-type limit interface {
+// limiter bounds the requests that one instance sends to cold upstreams; see coldlimit.Limit.
+type limiter interface {
 	Allows(upstream string, bound coldlimit.Bound) bool
 	Sent(upstream string)
 	Observe()
 }
 
-// Policies are those that are compared, the one in force last.
+// Policies are the policies that are compared. The last one is the policy that instances use.
 var Policies = []Policy{
-	{"none", func(string, func() []string, func() time.Time) limit { return unlimited{} }},
-	{"an equal share each", func(_ string, names func() []string, now func() time.Time) limit {
+	{"none", func(string, func() []string, func() time.Time) limiter { return unlimited{} }},
+	{"an equal share each", func(_ string, names func() []string, now func() time.Time) limiter {
 		return &equalShare{names: names, now: now}
 	}},
-	{"few senders", func(self string, names func() []string, now func() time.Time) limit {
+	{"few senders", func(self string, names func() []string, now func() time.Time) limiter {
 		return coldlimit.New(self, names, now)
 	}},
 }
 
-// unlimited sends whatever comes.
+// unlimited allows every request.
 type unlimited struct{}
 
 func (unlimited) Allows(string, coldlimit.Bound) bool { return true }
 func (unlimited) Sent(string)                         {}
 func (unlimited) Observe()                            {}
 
-// equalShare sends one request in each span in which all known together may send the bound's.
+// equalShare allows an instance one request in each span of time in which all instances that it
+// knows may send one each without exceeding the bound.
 type equalShare struct {
 	names func() []string
 	now   func() time.Time
@@ -83,137 +88,144 @@
 func (e *equalShare) Sent(string) { e.last = e.now() }
 func (e *equalShare) Observe()    {}
 
-// Result is what a history showed.
+// Result holds the outcome of a history.
 type Result struct {
-	// Worst is the most that arrived in any second while the upstream was cold, WorstKnown the same
-	// of instances that knew.
-	Worst, WorstKnown int
-	// Offered, Sent are requests that would have gone there while it was cold, and did.
+	// MaxPerSecond is the largest number of requests that arrived in any second while the upstream
+	// was cold; MaxPerSecondInformed counts only those of instances that knew that it was cold.
+	MaxPerSecond, MaxPerSecondInformed int
+	// Offered is the number of requests meant for the upstream while it was cold; Sent is the
+	// number of them that were sent.
 	Offered, Sent int
 }
 
-// world is one history.
-type world struct {
-	rng    *rand.Rand
-	now    time.Time
-	began  time.Time
-	policy Policy
-	limits []limit
-	knows  []time.Time
-	side   []int
-	bySide map[int][]string
+// simulation is one history.
+type simulation struct {
+	rng         *rand.Rand
+	now         time.Time
+	start       time.Time
+	policy      Policy
+	limiters    []limiter
+	learnsAt    []time.Time
+	sideOf      []int
+	namesBySide map[int][]string
 }
 
-func (w *world) start(n int) limit {
-	return w.policy.start(name(n), func() []string { return w.bySide[w.side[n]] }, func() time.Time { return w.now })
+// newLimiter returns the limiter of instance n after a start; it knows the names on its side.
+func (w *simulation) newLimiter(n int) limiter {
+	return w.policy.newLimiter(instanceName(n), func() []string { return w.namesBySide[w.sideOf[n]] }, func() time.Time { return w.now })
 }
 
-func name(n int) string { return fmt.Sprint("i", n) }
+func instanceName(n int) string { return fmt.Sprint("i", n) }
 
-func (w *world) cut(parts int) {
-	w.bySide = map[int][]string{}
-	for n := range w.side {
-		w.side[n] = w.rng.IntN(parts)
-		w.bySide[w.side[n]] = append(w.bySide[w.side[n]], name(n))
+// partition assigns each instance to a random one of numSides sides.
+func (w *simulation) partition(numSides int) {
+	w.namesBySide = map[int][]string{}
+	for n := range w.sideOf {
+		w.sideOf[n] = w.rng.IntN(numSides)
+		w.namesBySide[w.sideOf[n]] = append(w.namesBySide[w.sideOf[n]], instanceName(n))
 	}
 }
 
-// Play plays one history.
-func Play(size int, policy Policy, seed uint64) Result {
-	w := &world{rng: rand.New(rand.NewPCG(seed, uint64(size))), began: time.Unix(1_000_000, 0), policy: policy}
-	w.now = w.began
-	w.side, w.knows, w.limits = make([]int, size), make([]time.Time, size), make([]limit, size)
-	w.cut(1)
-	for n := range w.limits {
-		w.limits[n] = w.start(n)
-		w.limits[n].Observe()
-		w.knows[n] = w.began.Add(coldAt + time.Duration(w.rng.Int64N(int64(lateNews))))
+// Simulate simulates one history.
+func Simulate(size int, policy Policy, seed uint64) Result {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, uint64(size))), start: time.Unix(1_000_000, 0), policy: policy}
+	w.now = w.start
+	w.sideOf, w.learnsAt, w.limiters = make([]int, size), make([]time.Time, size), make([]limiter, size)
+	w.partition(1)
+	for n := range w.limiters {
+		w.limiters[n] = w.newLimiter(n)
+		w.limiters[n].Observe()
+		w.learnsAt[n] = w.start.Add(coldStart + time.Duration(w.rng.Int64N(int64(maxLearnDelay))))
 	}
-	rate := perSecond * loadFactor
+	rate := usualPerSecond * loadFactor
 	if w.rng.IntN(2) == 0 {
-		rate += perSecond * loadFactor * hotFactor
+		rate += usualPerSecond * loadFactor * hotSessionFactor
 	}
-	cutAt, lossAt := w.drawn(), w.drawn()
-	if w.rng.IntN(lossIn) != 0 {
-		lossAt = w.began.Add(2 * length)
+	partitionAt, restartAt := w.drawTime(), w.drawTime()
+	if w.rng.IntN(restartOneIn) != 0 {
+		restartAt = w.start.Add(2 * historyDuration)
 	}
-	return w.run(rate, cutAt, lossAt)
+	return w.run(rate, partitionAt, restartAt)
 }
 
-func (w *world) drawn() time.Time { return w.began.Add(time.Duration(w.rng.Int64N(int64(length)))) }
+// drawTime draws a time within the history.
+func (w *simulation) drawTime() time.Time {
+	return w.start.Add(time.Duration(w.rng.Int64N(int64(historyDuration))))
+}
 
-func (w *world) run(rate int, cutAt, lossAt time.Time) Result {
-	var all, known []time.Time
+func (w *simulation) run(rate int, partitionAt, restartAt time.Time) Result {
+	var all, informed []time.Time
 	result := Result{}
-	for w.now.Before(w.began.Add(length)) {
+	for w.now.Before(w.start.Add(historyDuration)) {
 		w.now = w.now.Add(time.Duration(w.rng.ExpFloat64() * float64(time.Second) / float64(rate)))
-		if w.now.After(cutAt) {
-			w.cut(1 + w.rng.IntN(sides))
-			cutAt = w.began.Add(2 * length)
+		if w.now.After(partitionAt) {
+			w.partition(1 + w.rng.IntN(maxSides))
+			partitionAt = w.start.Add(2 * historyDuration)
 		}
-		if w.now.After(lossAt) {
-			for n := range w.limits {
-				w.limits[n] = w.start(n)
+		if w.now.After(restartAt) {
+			for n := range w.limiters {
+				w.limiters[n] = w.newLimiter(n)
 			}
-			lossAt = w.began.Add(2 * length)
+			restartAt = w.start.Add(2 * historyDuration)
 		}
-		n := w.rng.IntN(len(w.limits))
-		cold := w.now.After(w.began.Add(coldAt)) && w.now.Before(w.began.Add(coldAt+coldFor))
+		n := w.rng.IntN(len(w.limiters))
+		cold := w.now.After(w.start.Add(coldStart)) && w.now.Before(w.start.Add(coldStart+coldDuration))
 		if !cold {
 			continue
 		}
 		result.Offered++
-		knows := w.now.After(w.knows[n])
-		if knows && !w.limits[n].Allows("cold", bound) {
+		isInformed := w.now.After(w.learnsAt[n])
+		if isInformed && !w.limiters[n].Allows("cold", coldBound) {
 			continue
 		}
 		result.Sent++
 		all = append(all, w.now)
-		if knows {
-			w.limits[n].Sent("cold")
-			known = append(known, w.now)
+		if isInformed {
+			w.limiters[n].Sent("cold")
+			informed = append(informed, w.now)
 		}
 	}
-	result.Worst, result.WorstKnown = worstSecond(all), worstSecond(known)
+	result.MaxPerSecond, result.MaxPerSecondInformed = maxInOneSecond(all), maxInOneSecond(informed)
 	return result
 }
 
-func worstSecond(times []time.Time) int {
-	worst, first := 0, 0
+// maxInOneSecond returns the largest number of times within one second; times are in order.
+func maxInOneSecond(times []time.Time) int {
+	most, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= time.Second {
 			first++
 		}
-		worst = max(worst, i-first+1)
+		most = max(most, i-first+1)
 	}
-	return worst
+	return most
 }
 
-// Compare plays all policies at all sizes on the same seeds and prints a table.
+// Compare simulates all policies at all sizes on the same seeds and prints a table.
 func Compare(out io.Writer, seeds int) error {
 	_, err := fmt.Fprintf(out, "%d histories a cell, %d allowed in any second\n\n"+
 		"| instances | policy | worst second of those that know: median, most | over the bound | with those that do not know yet: most | sent of what came |\n"+
-		"|---:|---|---:|---:|---:|---:|\n", seeds, bound.Most())
+		"|---:|---|---:|---:|---:|---:|\n", seeds, coldBound.Most())
 	for _, size := range Sizes {
 		for _, policy := range Policies {
 			if err == nil {
-				_, err = fmt.Fprintln(out, row(size, policy, seeds))
+				_, err = fmt.Fprintln(out, formatRow(size, policy, seeds))
 			}
 		}
 	}
 	return err
 }
 
-func row(size int, policy Policy, seeds int) string {
+func formatRow(size int, policy Policy, seeds int) string {
 	var worst []int
 	over, most, offered, sent := 0, 0, 0, 0
 	for seed := range uint64(seeds) {
-		r := Play(size, policy, seed)
-		worst = append(worst, r.WorstKnown)
-		if r.WorstKnown > bound.Most() {
+		r := Simulate(size, policy, seed)
+		worst = append(worst, r.MaxPerSecondInformed)
+		if r.MaxPerSecondInformed > coldBound.Most() {
 			over++
 		}
-		most = max(most, r.Worst)
+		most = max(most, r.MaxPerSecond)
 		offered, sent = offered+r.Offered, sent+r.Sent
 	}
 	slices.Sort(worst)
--- a/pkg/experiment/coldstart/coldstart_test.go
+++ b/pkg/experiment/coldstart/coldstart_test.go
@@ -2,12 +2,13 @@
 
 import "testing"
 
-// Guards against a policy in force that exceeds the bound of a cold upstream in drawn histories.
+// Guards against instances that know of a cold upstream and together send it more requests in a
+// second than its bound, in random histories with partitions and restarts.
 func TestPolicyInForceKeepsTheBound(t *testing.T) {
 	inForce := Policies[len(Policies)-1]
 	for _, size := range Sizes {
 		for seed := range uint64(20) {
-			if r := Play(size, inForce, seed); r.WorstKnown > bound.Most() || r.Sent == 0 {
+			if r := Simulate(size, inForce, seed); r.MaxPerSecondInformed > coldBound.Most() || r.Sent == 0 {
 				t.Errorf("%d instances, seed %d: %+v", size, seed, r)
 			}
 		}
