--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -15,45 +15,45 @@
 )
 
 type args struct {
-	Minutes int    `arg:"--minutes" default:"60" help:"virtual length of a run, in minutes"`
-	Seeds   int    `arg:"--seeds" default:"3" help:"runs of each cell"`
-	Only    string `arg:"--only" help:"run only scenarios whose name contains this"`
-	Blame   int    `arg:"--quarantine" help:"instead: compare policies of the quarantine on so many seeds"`
-	Plot    string `arg:"--plot" help:"with --quarantine: SVG file to write"`
-	Cold    int    `arg:"--cold" help:"instead: compare bounds on what cold upstreams get on so many histories"`
-	Safety  int    `arg:"--safety" help:"instead: so many short runs with random faults; exits 1 if one overspends"`
+	Minutes         int    `arg:"--minutes" default:"60" help:"virtual length of a run, in minutes"`
+	Seeds           int    `arg:"--seeds" default:"3" help:"runs of each cell"`
+	Only            string `arg:"--only" help:"run only scenarios whose name contains this"`
+	QuarantineSeeds int    `arg:"--quarantine" help:"instead: compare policies of the quarantine on so many seeds"`
+	Plot            string `arg:"--plot" help:"with --quarantine: SVG file to write"`
+	ColdHistories   int    `arg:"--cold" help:"instead: compare bounds on what cold upstreams get on so many histories"`
+	SafetyRuns      int    `arg:"--safety" help:"instead: so many short runs with random faults; exits 1 if one overspends"`
 }
 
 func main() {
 	var a args
 	arg.MustParse(&a)
-	if a.Safety > 0 {
-		if overspent := experiment.RunSafety(os.Stdout, a.Safety); overspent > 0 {
+	if a.SafetyRuns > 0 {
+		if overspent := experiment.RunSafety(os.Stdout, a.SafetyRuns); overspent > 0 {
 			os.Exit(1)
 		}
 		return
 	}
-	if a.Blame > 0 {
-		exitOn(compareBlame(a.Blame, a.Plot))
+	if a.QuarantineSeeds > 0 {
+		exitOnError(compareQuarantine(a.QuarantineSeeds, a.Plot))
 		return
 	}
-	if a.Cold > 0 {
-		exitOn(coldstart.Compare(os.Stdout, a.Cold))
+	if a.ColdHistories > 0 {
+		exitOnError(coldstart.Compare(os.Stdout, a.ColdHistories))
 		return
 	}
-	exitOn(experiment.PrintTables(os.Stdout, experiment.Plan{Minutes: a.Minutes, Seeds: a.Seeds, ScenarioFilter: a.Only}))
+	exitOnError(experiment.PrintTables(os.Stdout, experiment.Plan{Minutes: a.Minutes, Seeds: a.Seeds, ScenarioFilter: a.Only}))
 }
 
-func exitOn(err error) {
+func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// compareBlame compares policies of the quarantine. If plot is not empty, it names the SVG file to
-// write.
-func compareBlame(seeds int, plot string) error {
+// compareQuarantine compares policies of the quarantine. If plot is not empty, it names the SVG
+// file to write.
+func compareQuarantine(seeds int, plot string) error {
 	if plot == "" {
 		return blame.Compare(os.Stdout, nil, seeds, blame.Sizes)
 	}
