--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,5 @@
-// Command standin runs one of the stand-ins that take the place of outside
-// systems in trials and tests: the platform's object API, a model engine, a
-// plain service, or a relay that can cut, freeze and delay.
+// Command standin runs a stand-in for a system that tests and trials need: the platform's object
+// API, a model engine, a plain service, or a relay that cuts, freezes, holds and delays connections.
 package main
 
 import (
@@ -22,10 +21,10 @@
 	Listen string `arg:"--listen,required" help:"IP:port to listen on"`
 }
 
-// serviceArgs are of a stand-in that serves requests.
+// serviceArgs are the arguments of a stand-in that serves requests.
 type serviceArgs struct {
 	listenArgs
-	Fatal string `arg:"--fatal" help:"text in a request's body that ends the stand-in"`
+	FatalText string `arg:"--fatal" help:"text in a request's body that ends the stand-in"`
 }
 
 type engineArgs struct {
@@ -53,7 +52,7 @@
 	if parser.Subcommand() == nil {
 		parser.Fail("a stand-in is needed; see --help")
 	}
-	if err := start(&a); err != nil {
+	if err := startStandIn(&a); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
@@ -62,16 +61,16 @@
 	<-ctx.Done()
 }
 
-func start(a *args) error {
+func startStandIn(a *args) error {
 	var err error
 	switch {
 	case a.Platform != nil:
 		_, err = standin.Start(a.Platform.Listen)
 	case a.Engine != nil:
 		e := a.Engine
-		_, err = engine.Start(engine.Config{Address: e.Listen, Slots: e.Slots, TokenMillis: e.TokenMillis, Fatal: e.Fatal})
+		_, err = engine.Start(engine.Config{Address: e.Listen, Slots: e.Slots, TokenMillis: e.TokenMillis, FatalText: e.FatalText})
 	case a.Plain != nil:
-		_, err = plain.Start(a.Plain.Listen, a.Plain.Fatal)
+		_, err = plain.Start(a.Plain.Listen, a.Plain.FatalText)
 	case a.Relay != nil:
 		_, err = relay.Start(a.Relay.Listen, a.Relay.Control, a.Relay.To)
 	}
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine is a small stand-in for a model engine: simple continuous
-// batching, streams that can be resumed and cancelled, usage, lagging load.
+// Package engine is a small stand-in for a model engine. It batches requests continuously, in a
+// simple form, streams answers that can be resumed and cancelled, counts usage, and reports its
+// load with a delay, as engines do.
 package engine
 
 import (
@@ -23,66 +24,67 @@
 	"github.com/lavenderring/lavenderring/pkg/httpserve"
 )
 
-// Bounds of the stand-in.
+// Bounds and timing of the stand-in. loadReportInterval is how often the reported load is updated.
 const (
 	maxBodyBytes       = 16 << 20
 	bytesPerToken      = 4
-	loadLag            = 200 * time.Millisecond
+	loadReportInterval = 200 * time.Millisecond
 	defaultTokenMillis = 10
 )
 
-// Config sizes a stand-in engine.
+// Config configures a stand-in engine.
 type Config struct {
 	// Address is the IP address and port to listen on.
 	Address string
-	// Slots is how many requests generate at once. Default 8.
+	// Slots is the number of requests that generate at once. Default 8.
 	Slots int
 	// TokenMillis is the time for one token, in milliseconds. Default 10.
 	TokenMillis int
-	// Fatal is a text; a request whose body has it ends the whole process, as a fault of the
-	// engine's would. Empty for none.
-	Fatal string
+	// FatalText ends the whole process when the body of a request contains it, as a fault of the
+	// engine would. Empty for none.
+	FatalText string
 }
 
-// exitFatal is the exit code after a fatal request.
-const exitFatal = 3
+// fatalExitCode is the exit code of the process after a fatal request.
+const fatalExitCode = 3
 
-// Faults switches what goes wrong.
+// Faults are the faults that the engine simulates.
 type Faults struct {
-	// CutAfterTokens cuts the next stream's connection once, so many tokens in.
+	// CutAfterTokens closes the connection of the next stream that reaches this many tokens, once;
+	// 0 for none.
 	CutAfterTokens int `json:"cut_after_tokens"`
 	// WrongID answers the next request with another request's id.
 	WrongID bool `json:"wrong_id"`
-	// Frozen takes requests and never answers.
+	// Frozen accepts requests and does not answer them.
 	Frozen bool `json:"frozen"`
 }
 
-// generation is one request's run. It goes on when a connection breaks.
+// generation is the run of one request. It continues when the client's connection breaks.
 type generation struct {
-	id      string
-	prompt  int64
-	target  int64
-	done    atomic.Int64
-	ended   chan struct{}
-	cancel  context.CancelFunc
-	changed *sync.Cond
-	over    bool
+	id              string
+	promptTokens    int64
+	targetTokens    int64
+	generatedTokens atomic.Int64
+	finished        chan struct{}
+	cancel          context.CancelFunc
+	changed         *sync.Cond
+	isOver          bool
 }
 
-// Server is the stand-in.
+// Server is a running stand-in engine.
 type Server struct {
 	http  *httpserve.Server
 	cfg   Config
 	slots chan struct{}
-	// incarnation is told in every answer.
+	// incarnation identifies this process in the header of every answer.
 	incarnation string
 
-	mu       sync.Mutex
-	runs     map[string]*generation
-	faults   Faults
-	running  int
-	waiting  int
-	reported string
+	mu           sync.Mutex
+	generations  map[string]*generation
+	faults       Faults
+	numRunning   int
+	numWaiting   int
+	reportedLoad string
 }
 
 // Start listens on the configured address.
@@ -97,75 +99,80 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{http: http, cfg: cfg, slots: make(chan struct{}, cfg.Slots), runs: map[string]*generation{}}
-	s.reported = "0/0"
+	s := &Server{http: http, cfg: cfg, slots: make(chan struct{}, cfg.Slots), generations: map[string]*generation{}}
+	s.reportedLoad = "0/0"
 	s.incarnation = ulid.Make().String()
-	http.Use(s.tellIncarnation)
+	http.Use(s.setIncarnationHeader)
 	http.OPTIONS("/*path", func(context.Context, *app.RequestContext) {})
-	http.POST("/v1/chat/completions", s.complete)
-	http.POST("/cancel/:id", s.cancel)
-	http.GET("/load", s.load)
+	http.POST("/v1/chat/completions", s.handleCompletion)
+	http.POST("/cancel/:id", s.handleCancel)
+	http.GET("/load", s.handleLoad)
 	http.POST("/faults", httpserve.Take(s.SetFaults))
-	http.GET("/usage", s.usage)
+	http.GET("/usage", s.handleUsage)
 	http.Serve()
 	go s.reportLoad()
 	return s, nil
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the simulated faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Usage returns, by request id, the tokens that the engine itself counted.
+// Usage returns, by request ID, the prompt and generated tokens that the engine counted.
 func (s *Server) Usage() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]int64{}
-	for id, g := range s.runs {
-		out[id] = g.prompt + g.done.Load()
+	for id, g := range s.generations {
+		out[id] = g.promptTokens + g.generatedTokens.Load()
 	}
 	return out
 }
 
-func (s *Server) usage(_ context.Context, c *app.RequestContext) { c.JSON(consts.StatusOK, s.Usage()) }
+func (s *Server) handleUsage(_ context.Context, c *app.RequestContext) {
+	c.JSON(consts.StatusOK, s.Usage())
+}
 
-func (s *Server) tellIncarnation(_ context.Context, c *app.RequestContext) {
+// setIncarnationHeader adds the incarnation to an answer.
+func (s *Server) setIncarnationHeader(_ context.Context, c *app.RequestContext) {
 	c.Header(chat.HeaderIncarnation, s.incarnation)
 }
 
-func (s *Server) load(_ context.Context, c *app.RequestContext) {
+func (s *Server) handleLoad(_ context.Context, c *app.RequestContext) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.Header(chat.HeaderLoad, s.reported)
+	c.Header(chat.HeaderLoad, s.reportedLoad)
 }
 
 func (s *Server) reportLoad() {
-	for range time.Tick(loadLag) {
+	for range time.Tick(loadReportInterval) {
 		s.mu.Lock()
-		s.reported = fmt.Sprintf("%d/%d", s.running, s.waiting)
+		s.reportedLoad = fmt.Sprintf("%d/%d", s.numRunning, s.numWaiting)
 		s.mu.Unlock()
 	}
 }
 
-func (s *Server) cancel(_ context.Context, c *app.RequestContext) {
+// handleCancel cancels a generation and returns its usage once it has ended.
+func (s *Server) handleCancel(_ context.Context, c *app.RequestContext) {
 	s.mu.Lock()
-	g := s.runs[c.Param("id")]
+	g := s.generations[c.Param("id")]
 	s.mu.Unlock()
 	if g == nil {
 		c.SetStatusCode(consts.StatusNotFound)
 		return
 	}
 	g.cancel()
-	<-g.ended
-	c.JSON(consts.StatusOK, chat.Usage{PromptTokens: g.prompt, CompletionTokens: g.done.Load()})
+	<-g.finished
+	c.JSON(consts.StatusOK, chat.Usage{PromptTokens: g.promptTokens, CompletionTokens: g.generatedTokens.Load()})
 }
 
-func (s *Server) complete(ctx context.Context, c *app.RequestContext) {
-	if s.cfg.Fatal != "" && strings.Contains(string(c.Request.Body()), s.cfg.Fatal) {
-		os.Exit(exitFatal)
+// handleCompletion starts or resumes a generation and returns its answer.
+func (s *Server) handleCompletion(ctx context.Context, c *app.RequestContext) {
+	if s.cfg.FatalText != "" && strings.Contains(string(c.Request.Body()), s.cfg.FatalText) {
+		os.Exit(fatalExitCode)
 	}
 	var req chat.Request
 	if err := json.Unmarshal(c.Request.Body(), &req); err != nil {
@@ -174,21 +181,21 @@
 	}
 	id := string(c.GetHeader(chat.HeaderRequestID))
 	offset, resume := resumeOffset(c)
-	g, status := s.generation(id, &req, resume)
+	g, status := s.findOrStart(id, &req, resume)
 	if g == nil {
 		c.SetStatusCode(status)
 		return
 	}
-	if s.takeFrozen() {
+	if s.isFrozen() {
 		time.Sleep(time.Hour)
 	}
-	told := s.writeHead(c, id)
+	responseID := s.setHeaders(c, id)
 	if req.Stream {
-		s.stream(c, g, told, req.Model, offset)
+		s.streamAnswer(c, g, responseID, req.Model, offset)
 		return
 	}
-	<-g.ended
-	c.JSON(consts.StatusOK, wholeAnswer(g, told, req.Model))
+	<-g.finished
+	c.JSON(consts.StatusOK, fullResponse(g, responseID, req.Model))
 }
 
 func resumeOffset(c *app.RequestContext) (int64, bool) {
@@ -197,14 +204,14 @@
 	return offset, text != "" && err == nil
 }
 
-func (s *Server) takeFrozen() bool {
+func (s *Server) isFrozen() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Frozen
 }
 
-// writeHead writes the answer's head and returns the id that it is told under.
-func (s *Server) writeHead(c *app.RequestContext, id string) string {
+// setHeaders sets the headers of the answer and returns the request ID that the answer carries.
+func (s *Server) setHeaders(c *app.RequestContext, id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.WrongID {
@@ -212,15 +219,16 @@
 		id = "somebody-else"
 	}
 	c.Header(chat.HeaderRequestID, id)
-	c.Header(chat.HeaderLoad, s.reported)
+	c.Header(chat.HeaderLoad, s.reportedLoad)
 	return id
 }
 
-// generation finds or starts a request's run.
-func (s *Server) generation(id string, req *chat.Request, resume bool) (*generation, int) {
+// findOrStart returns the generation of a request to resume, or starts a new one. It returns nil
+// and a status if there is none to resume, or if a new request has the ID of an earlier one.
+func (s *Server) findOrStart(id string, req *chat.Request, resume bool) (*generation, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.runs[id]
+	g := s.generations[id]
 	if resume {
 		return g, consts.StatusGone
 	}
@@ -229,20 +237,20 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g = &generation{
-		id:      id,
-		prompt:  promptTokens(req),
-		target:  targetTokens(id, req.MaxTokens),
-		ended:   make(chan struct{}),
-		cancel:  cancel,
-		changed: sync.NewCond(&sync.Mutex{}),
+		id:           id,
+		promptTokens: countPromptTokens(req),
+		targetTokens: answerTokens(id, req.MaxTokens),
+		finished:     make(chan struct{}),
+		cancel:       cancel,
+		changed:      sync.NewCond(&sync.Mutex{}),
 	}
-	s.runs[id] = g
-	s.waiting++
-	go s.run(ctx, g)
+	s.generations[id] = g
+	s.numWaiting++
+	go s.generate(ctx, g)
 	return g, 0
 }
 
-func promptTokens(req *chat.Request) int64 {
+func countPromptTokens(req *chat.Request) int64 {
 	var bytes int
 	for _, m := range req.Messages {
 		bytes += len(m.Content)
@@ -250,33 +258,35 @@
 	return int64((bytes + bytesPerToken - 1) / bytesPerToken)
 }
 
-// targetTokens makes the answer's length depend on the request's id alone.
-func targetTokens(id string, maximum int64) int64 {
-	if maximum <= 1 {
-		return max(maximum, 1)
+// answerTokens returns the length of a request's answer, which depends only on its ID and maximum.
+func answerTokens(id string, maxTokens int64) int64 {
+	if maxTokens <= 1 {
+		return max(maxTokens, 1)
 	}
-	return maximum/2 + int64(xxhash.Sum64String(id)%uint64(maximum/2+1))
+	return maxTokens/2 + int64(xxhash.Sum64String(id)%uint64(maxTokens/2+1))
 }
 
-func (s *Server) run(ctx context.Context, g *generation) {
-	defer close(g.ended)
+// generate waits for a free slot and generates tokens until the answer is complete or cancelled.
+func (s *Server) generate(ctx context.Context, g *generation) {
+	defer close(g.finished)
 	s.slots <- struct{}{}
-	s.shift(-1, 1)
+	s.adjustLoad(-1, 1)
 	defer func() {
 		<-s.slots
-		s.shift(0, -1)
-		g.update(func() { g.over = true })
+		s.adjustLoad(0, -1)
+		g.update(func() { g.isOver = true })
 	}()
-	for g.done.Load() < g.target {
+	for g.generatedTokens.Load() < g.targetTokens {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Duration(s.cfg.TokenMillis) * time.Millisecond):
-			g.update(func() { g.done.Add(1) })
+			g.update(func() { g.generatedTokens.Add(1) })
 		}
 	}
 }
 
+// update changes the generation and wakes up the goroutines in waitForTokens.
 func (g *generation) update(change func()) {
 	g.changed.L.Lock()
 	defer g.changed.L.Unlock()
@@ -284,32 +294,34 @@
 	g.changed.Broadcast()
 }
 
-// next waits for more tokens than have been sent and returns how many there are.
-func (g *generation) next(sent int64) (done int64, over bool) {
+// waitForTokens waits until there are more tokens than have been sent or the generation is over.
+// It returns the number of generated tokens.
+func (g *generation) waitForTokens(sent int64) (generated int64, isOver bool) {
 	g.changed.L.Lock()
 	defer g.changed.L.Unlock()
-	for g.done.Load() <= sent && !g.over {
+	for g.generatedTokens.Load() <= sent && !g.isOver {
 		g.changed.Wait()
 	}
-	return g.done.Load(), g.over
+	return g.generatedTokens.Load(), g.isOver
 }
 
-func (s *Server) shift(waiting, running int) {
+// adjustLoad adds to the numbers of waiting and running requests.
+func (s *Server) adjustLoad(waiting, running int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waiting += waiting
-	s.running += running
+	s.numWaiting += waiting
+	s.numRunning += running
 }
 
-// Token returns the text of one token of a request's answer, so that tests can
-// tell one request's answer from another's and a whole one from a cut one.
+// Token returns the text of one token of a request's answer. It differs between requests and
+// between positions, so that tests can recognize answers of other requests and incomplete ones.
 func Token(id string, index int64) string {
 	return fmt.Sprintf("%x.%d ", xxhash.Sum64String(id)%0xffff, index)
 }
 
-func wholeAnswer(g *generation, id, model string) chat.Response {
+func fullResponse(g *generation, id, model string) chat.Response {
 	text := ""
-	for i := int64(0); i < g.done.Load(); i++ {
+	for i := int64(0); i < g.generatedTokens.Load(); i++ {
 		text += Token(g.id, i)
 	}
 	message := &chat.Message{Role: "assistant", Content: text}
@@ -317,29 +329,30 @@
 		ID:      id,
 		Model:   model,
 		Choices: []chat.Choice{{Message: message, FinishReason: "stop"}},
-		Usage:   &chat.Usage{PromptTokens: g.prompt, CompletionTokens: g.done.Load()},
+		Usage:   &chat.Usage{PromptTokens: g.promptTokens, CompletionTokens: g.generatedTokens.Load()},
 	}
 }
 
-func (s *Server) stream(c *app.RequestContext, g *generation, id, model string, offset int64) {
+// streamAnswer streams the tokens of a generation from an offset on.
+func (s *Server) streamAnswer(c *app.RequestContext, g *generation, id, model string, offset int64) {
 	w := sse.NewWriter(c)
 	defer func() { _ = w.Close() }()
 	for sent := offset; ; {
-		done, over := g.next(sent)
-		for ; sent < done; sent++ {
-			if s.cutNow(c, sent) || writeToken(w, g, id, model, sent) != nil {
+		generated, isOver := g.waitForTokens(sent)
+		for ; sent < generated; sent++ {
+			if s.cutIfDue(c, sent) || writeToken(w, g, id, model, sent) != nil {
 				return
 			}
 		}
-		if over && sent == g.done.Load() {
+		if isOver && sent == g.generatedTokens.Load() {
 			writeEnd(w, g, id, model)
 			return
 		}
 	}
 }
 
-// cutNow cuts the connection if that fault is due.
-func (s *Server) cutNow(c *app.RequestContext, sent int64) bool {
+// cutIfDue closes the connection if the CutAfterTokens fault is due.
+func (s *Server) cutIfDue(c *app.RequestContext, sent int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.CutAfterTokens == 0 || sent < int64(s.faults.CutAfterTokens) {
@@ -357,7 +370,7 @@
 }
 
 func writeEnd(w *sse.Writer, g *generation, id, model string) {
-	usage := &chat.Usage{PromptTokens: g.prompt, CompletionTokens: g.done.Load()}
+	usage := &chat.Usage{PromptTokens: g.promptTokens, CompletionTokens: g.generatedTokens.Load()}
 	choices := []chat.Choice{{Delta: &chat.Delta{}, FinishReason: "stop"}}
 	event := chat.Response{ID: id, Model: model, Choices: choices, Usage: usage}
 	if writeJSON(w, "", event) == nil {
