--- a/pkg/standin/plain/plain.go
+++ b/pkg/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a small stand-in for a plain service. It records each run,
-// so that a request that ran twice is seen.
+// Package plain is a small stand-in for a plain service. It records each request that it runs, so
+// that tests notice a request that ran twice.
 package plain
 
 import (
@@ -18,6 +18,7 @@
 	"github.com/lavenderring/lavenderring/pkg/httpserve"
 )
 
+// maxBodyBytes bounds the body of a request.
 const maxBodyBytes = 16 << 20
 
 // Run is one request that the service ran.
@@ -28,21 +29,22 @@
 	Body   string `json:"body"`
 }
 
-// Faults switches what goes wrong.
+// Faults are the faults that the service simulates.
 type Faults struct {
-	// DelayMillis delays each answer after its run.
+	// DelayMillis delays each answer after the request ran.
 	DelayMillis int64 `json:"delay_millis"`
-	// DropAnswers is how many of the next requests run and are not answered.
+	// DropAnswers is the number of next requests that run without an answer: their connection is
+	// closed.
 	DropAnswers int `json:"drop_answers"`
 	// WrongID answers the next request with another request's id.
 	WrongID bool `json:"wrong_id"`
 }
 
-// Server is the stand-in.
+// Server is a running stand-in service.
 type Server struct {
-	http  *httpserve.Server
-	fatal string
-	// incarnation is told in every answer.
+	http      *httpserve.Server
+	fatalText string
+	// incarnation identifies this process in the header of every answer.
 	incarnation string
 
 	mu     sync.Mutex
@@ -50,55 +52,59 @@
 	faults Faults
 }
 
-// exitFatal is the exit code after a fatal request.
-const exitFatal = 3
+// fatalExitCode is the exit code of the process after a fatal request.
+const fatalExitCode = 3
 
-// Start listens on an address. A request whose body has the text fatal ends the whole process, as a
-// fault of the service's would; empty for none.
-func Start(address, fatal string) (*Server, error) {
+// Start serves on an address. A request whose body contains fatalText ends the whole process, as a
+// fault of the service would; an empty fatalText ends none.
+func Start(address, fatalText string) (*Server, error) {
 	http, err := httpserve.Listen(httpserve.Options{Address: address, MaxBodyBytes: maxBodyBytes})
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{http: http, fatal: fatal, incarnation: ulid.Make().String()}
-	http.Use(s.tellIncarnation)
+	s := &Server{http: http, fatalText: fatalText, incarnation: ulid.Make().String()}
+	http.Use(s.setIncarnationHeader)
 	http.OPTIONS("/*path", func(context.Context, *app.RequestContext) {})
 	http.POST("/_faults", httpserve.Take(s.SetFaults))
-	http.GET("/_runs", s.getRuns)
-	http.NoRoute(s.run)
+	http.GET("/_runs", s.handleRuns)
+	http.NoRoute(s.handleRequest)
 	http.Serve()
 	return s, nil
 }
 
-// Runs returns everything that ran.
+// Runs returns all requests that ran, in order.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the simulated faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-func (s *Server) getRuns(_ context.Context, c *app.RequestContext) { c.JSON(consts.StatusOK, s.Runs()) }
+func (s *Server) handleRuns(_ context.Context, c *app.RequestContext) {
+	c.JSON(consts.StatusOK, s.Runs())
+}
 
-func (s *Server) tellIncarnation(_ context.Context, c *app.RequestContext) {
+// setIncarnationHeader adds the incarnation to an answer.
+func (s *Server) setIncarnationHeader(_ context.Context, c *app.RequestContext) {
 	c.Header(chat.HeaderIncarnation, s.incarnation)
 }
 
-func (s *Server) run(_ context.Context, c *app.RequestContext) {
+// handleRequest records a request as run and answers it as the faults say.
+func (s *Server) handleRequest(_ context.Context, c *app.RequestContext) {
 	run := Run{
 		ID:     string(c.GetHeader(chat.HeaderRequestID)),
 		Method: string(c.Method()),
 		Path:   string(c.Path()),
 		Body:   string(c.Request.Body()),
 	}
-	if s.fatal != "" && strings.Contains(run.Body, s.fatal) {
-		os.Exit(exitFatal)
+	if s.fatalText != "" && strings.Contains(run.Body, s.fatalText) {
+		os.Exit(fatalExitCode)
 	}
 	s.mu.Lock()
 	s.runs = append(s.runs, run)
