--- a/pkg/standin/relay/relay.go
+++ b/pkg/standin/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay passes TCP connections on between two addresses and can cut,
-// freeze or delay them, to bring about what networks do.
+// Package relay forwards TCP connections from one address to another and can cut, freeze, hold or
+// delay them, to simulate network faults.
 package relay
 
 import (
@@ -10,29 +10,29 @@
 	"github.com/lavenderring/lavenderring/pkg/httpserve"
 )
 
-// chunkBytes is how much is passed on at once.
-const chunkBytes = 16 << 10
+// bufferBytes is the largest number of bytes forwarded at once.
+const bufferBytes = 16 << 10
 
-// maxControlBytes bounds a control request.
+// maxControlBytes bounds the body of a control request.
 const maxControlBytes = 1 << 16
 
-// Faults switches what goes wrong.
+// Faults are the network faults that the relay simulates.
 type Faults struct {
-	// Cut refuses new connections and closes the open ones.
+	// Cut closes open connections, and new ones as soon as they are accepted.
 	Cut bool `json:"cut"`
-	// Freeze leaves the connections that are open now open and passes nothing
-	// on in them, for good; new ones work.
+	// Freeze stops forwarding on the connections that are open now, for good, without closing them.
+	// New connections work.
 	Freeze bool `json:"freeze"`
-	// Hold keeps back what comes from the far end: requests pass and answers do not,
-	// until it is lifted.
+	// Hold delays what the target sends until Hold is unset: requests are forwarded, answers are
+	// not.
 	Hold bool `json:"hold"`
-	// DelayMillis delays each chunk.
+	// DelayMillis delays each forwarded buffer, in both directions.
 	DelayMillis int64 `json:"delay_millis"`
 }
 
 // Relay is a running relay.
 type Relay struct {
-	to       string
+	target   string
 	listener net.Listener
 	control  *httpserve.Server
 
@@ -41,19 +41,20 @@
 	links  map[*link]bool
 }
 
-// link is one connection passed on.
+// link is one forwarded connection. frozen is closed when the connection is frozen.
 type link struct {
-	in, out net.Conn
-	frozen  chan struct{}
+	client, target net.Conn
+	frozen         chan struct{}
 }
 
-// Start listens and passes connections on to an address. control may be empty.
-func Start(listen, control, to string) (*Relay, error) {
+// Start listens on an address and forwards connections to the target. If control is not empty, the
+// relay takes POST /faults on that address.
+func Start(listen, control, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{to: to, listener: listener, links: map[*link]bool{}}
+	r := &Relay{target: target, listener: listener, links: map[*link]bool{}}
 	if control != "" {
 		if err := r.startControl(control); err != nil {
 			return nil, err
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the simulated faults and applies Cut and Freeze to the open connections.
 func (r *Relay) SetFaults(faults Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,62 +93,65 @@
 
 func (r *Relay) accept() {
 	for {
-		in, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.pass(in)
+		go r.forward(client)
 	}
 }
 
-func (r *Relay) pass(in net.Conn) {
+// forward connects to the target and copies in both directions, until the link is closed or frozen.
+func (r *Relay) forward(client net.Conn) {
 	r.mu.Lock()
 	cut := r.faults.Cut
 	r.mu.Unlock()
 	if cut {
-		_ = in.Close()
+		_ = client.Close()
 		return
 	}
-	out, err := net.Dial("tcp", r.to)
+	target, err := net.Dial("tcp", r.target)
 	if err != nil {
-		_ = in.Close()
+		_ = client.Close()
 		return
 	}
-	l := &link{in: in, out: out, frozen: make(chan struct{})}
+	l := &link{client: client, target: target, frozen: make(chan struct{})}
 	r.mu.Lock()
 	r.links[l] = true
 	r.mu.Unlock()
-	go r.copy(l, in, out)
-	r.copy(l, out, in)
+	go r.copyBytes(l, client, target)
+	r.copyBytes(l, target, client)
 }
 
-func (r *Relay) copy(l *link, from, to net.Conn) {
-	buffer := make([]byte, chunkBytes)
+// copyBytes copies from src to dst with the current faults, until either fails.
+func (r *Relay) copyBytes(l *link, src, dst net.Conn) {
+	buffer := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(buffer)
+		n, err := src.Read(buffer)
 		select {
 		case <-l.frozen:
-			return // both ends stay open, and nothing passes any more
+			return // both connections stay open, without further traffic
 		default:
 		}
 		r.mu.Lock()
 		delay := time.Duration(r.faults.DelayMillis) * time.Millisecond
 		r.mu.Unlock()
 		time.Sleep(delay)
-		if from == l.out {
-			r.awaitLifted()
+		if src == l.target {
+			r.waitWhileHeld()
 		}
-		if _, werr := to.Write(buffer[:n]); err != nil || werr != nil {
-			r.drop(l)
+		if _, werr := dst.Write(buffer[:n]); err != nil || werr != nil {
+			r.closeLink(l)
 			return
 		}
 	}
 }
 
-// holdCheck is how often a held answer looks whether it may pass.
-const holdCheck = 10 * time.Millisecond
+// holdPollInterval is how often copyBytes checks whether the Hold fault has ended.
+const holdPollInterval = 10 * time.Millisecond
 
-func (r *Relay) awaitLifted() {
+// waitWhileHeld blocks while the Hold fault is set.
+func (r *Relay) waitWhileHeld() {
 	for {
 		r.mu.Lock()
 		held := r.faults.Hold
@@ -155,17 +159,18 @@
 		if !held {
 			return
 		}
-		time.Sleep(holdCheck)
+		time.Sleep(holdPollInterval)
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections, except for frozen ones.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.SetFaults(Faults{Cut: true})
 }
 
-func (r *Relay) drop(l *link) {
+// closeLink closes a link and forgets it.
+func (r *Relay) closeLink(l *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.links, l)
@@ -173,6 +178,6 @@
 }
 
 func (l *link) close() {
-	_ = l.in.Close()
-	_ = l.out.Close()
+	_ = l.client.Close()
+	_ = l.target.Close()
 }
