--- a/pkg/standin/loopback/address.go
+++ b/pkg/standin/loopback/address.go
@@ -1,4 +1,4 @@
-// Package loopback hands out addresses for trials on one machine.
+// Package loopback allocates loopback addresses for tests on one machine.
 package loopback
 
 import (
@@ -7,15 +7,16 @@
 	"sync/atomic"
 )
 
-// port is below the range that outgoing connections take their ports from.
+// port is below the ephemeral range, from which outgoing connections take their ports.
 const port = 7001
 
-var places atomic.Int64
+// numAddresses counts the addresses that Address has returned.
+var numAddresses atomic.Int64
 
-// Address returns an address that nobody listens on: an IP address of its own, told
-// apart from another process's by the process's id, so that no connection can take its
-// port before it is listened on.
+// Address returns an address that nobody listens on. Each has an IP address of its own, so that no
+// outgoing connection can take its port before a server listens on it. The process ID, modulo 200,
+// is part of the IP address and keeps apart those of other processes.
 func Address() string {
-	place := places.Add(1)
-	return fmt.Sprintf("127.%d.%d.%d:%d", 16+os.Getpid()%200, place/250, 1+place%250, port)
+	index := numAddresses.Add(1)
+	return fmt.Sprintf("127.%d.%d.%d:%d", 16+os.Getpid()%200, index/250, 1+index%250, port)
 }
