--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity measures slopes on this machine and rewrites the tables and
-// the plot of docs/CAPACITY.md from them. It starts instances and stand-ins on
-// loopback addresses, up to the largest size named, and stops them.
+// Command capacity measures the costs of instances on this machine and rewrites the tables and the
+// plot of docs/CAPACITY.md from them. It starts fleets of the given sizes, with a stand-in of the
+// platform, on loopback addresses, and stops them.
 package main
 
 import (
@@ -37,5 +37,5 @@
 	if err != nil {
 		return err
 	}
-	return capacity.Rewrite(a.Page, a.Plot, capacity.Model{Micro: micro, Fleets: fleets})
+	return capacity.RewritePage(a.Page, a.Plot, capacity.Model{Micro: micro, Fleets: fleets})
 }
--- a/pkg/capacity/fit.go
+++ b/pkg/capacity/fit.go
@@ -1,26 +1,25 @@
-// Package capacity measures what the roles of an instance cost on this machine,
-// as slopes, and works out from them what they cost at the size that decides the
-// design. Its command rewrites the tables of docs/CAPACITY.md, so that the page
-// cannot drift from the code.
+// Package capacity measures the cost of the roles of an instance on this machine, as lines over
+// sizes, and extrapolates them to the fleet size that the design is made for. Command capacity
+// rewrites the tables of docs/CAPACITY.md, so that the page cannot drift from the code.
 package capacity
 
 import "math"
 
 // Line is a straight line fitted to measurements.
 type Line struct {
-	// Base and Slope are its value at 0 and its rise for each unit.
+	// Base is its value at 0; Slope is its rise for each unit.
 	Base, Slope float64
-	// Residual is the root of the mean squared distance of the measurements from
-	// the line, as a part of their mean.
+	// Residual is the root mean square of the distances of the measurements from the line, as a
+	// fraction of their mean.
 	Residual float64
-	// From and To are the range that was measured.
+	// From and To bound the measured range.
 	From, To float64
 }
 
-// At returns the line's value.
+// At returns the value of the line at x.
 func (l Line) At(x float64) float64 { return l.Base + l.Slope*x }
 
-// fit lays the line of least squares through points; there must be two or more.
+// fit returns the least-squares line through the points. There must be at least two.
 func fit(xs, ys []float64) Line {
 	n := float64(len(xs))
 	var sumX, sumY, sumXX, sumXY float64
--- a/pkg/capacity/fleet.go
+++ b/pkg/capacity/fleet.go
@@ -10,38 +10,39 @@
 	"github.com/lavenderring/lavenderring/platform"
 )
 
-// Idle is what one instance of a fleet costs without a request, on average.
-type Idle struct {
+// IdleCost is the average cost of one instance of a fleet without requests.
+type IdleCost struct {
 	Instances int
-	// Processor is in percent of a core; Memory in bytes resident.
-	Processor, Memory float64
-	// PeerBytes and StoreBytes are a second, both directions together.
-	PeerBytes, StoreBytes float64
-	// Reads, Writes and Watches are calls to the store a second, of the whole
-	// fleet.
-	Reads, Writes, Watches float64
-	// Spread is the time in which an accepted document came into force at the
-	// median and the last instance.
+	// ProcessorPercent is in percent of a core; MemoryBytes is the resident memory.
+	ProcessorPercent, MemoryBytes float64
+	// PeerByteRate and StoreByteRate are bytes a second, both directions together.
+	PeerByteRate, StoreByteRate float64
+	// ReadRate, WriteRate and WatchRate are calls a second of the whole fleet to the store.
+	ReadRate, WriteRate, WatchRate float64
+	// SpreadMedian and SpreadLast are the times after which a written document was in force at
+	// half of the instances and at the last one.
 	SpreadMedian, SpreadLast time.Duration
 }
 
-// Fleets holds the measurements over fleet sizes.
-type Fleets struct {
-	Runs []Idle
-	// Heartbeats and so on are the lines through them, over instances.
-	Processor, Memory, PeerBytes, StoreBytes, Calls Line
+// FleetCosts holds the measurements over fleet sizes.
+type FleetCosts struct {
+	Runs []IdleCost
+	// The lines are fitted to Runs, over the number of instances.
+	ProcessorPercent, MemoryBytes, PeerByteRate, StoreByteRate, StoreCallRate Line
 }
 
-// Lengths of one fleet's measurement.
+// Durations of the measurement of one fleet. settleDuration is the time between its start and the
+// measurement.
 const (
-	settleTime  = 6 * time.Second
-	measureTime = 15 * time.Second
-	spreadLimit = 10 * time.Second
+	settleDuration  = 6 * time.Second
+	measureDuration = 15 * time.Second
+	spreadTimeout   = 10 * time.Second
 )
 
-// MeasureFleets runs fleets of the given sizes one after the other.
-func MeasureFleets(binaries string, sizes []int) (Fleets, error) {
-	var f Fleets
+// MeasureFleets starts and measures fleets of the given sizes, one after the other. The programs
+// are those in the folder binaries.
+func MeasureFleets(binaries string, sizes []int) (FleetCosts, error) {
+	var f FleetCosts
 	for _, n := range sizes {
 		run, err := measureFleet(binaries, n)
 		if err != nil {
@@ -53,8 +54,8 @@
 	return f, nil
 }
 
-func (f *Fleets) fitLines() {
-	line := func(value func(Idle) float64) Line {
+func (f *FleetCosts) fitLines() {
+	line := func(value func(IdleCost) float64) Line {
 		var xs, ys []float64
 		for _, run := range f.Runs {
 			xs = append(xs, float64(run.Instances))
@@ -62,114 +63,116 @@
 		}
 		return fit(xs, ys)
 	}
-	f.Processor = line(func(r Idle) float64 { return r.Processor })
-	f.Memory = line(func(r Idle) float64 { return r.Memory })
-	f.PeerBytes = line(func(r Idle) float64 { return r.PeerBytes })
-	f.StoreBytes = line(func(r Idle) float64 { return r.StoreBytes })
-	f.Calls = line(func(r Idle) float64 { return r.Reads + r.Writes + r.Watches })
+	f.ProcessorPercent = line(func(r IdleCost) float64 { return r.ProcessorPercent })
+	f.MemoryBytes = line(func(r IdleCost) float64 { return r.MemoryBytes })
+	f.PeerByteRate = line(func(r IdleCost) float64 { return r.PeerByteRate })
+	f.StoreByteRate = line(func(r IdleCost) float64 { return r.StoreByteRate })
+	f.StoreCallRate = line(func(r IdleCost) float64 { return r.ReadRate + r.WriteRate + r.WatchRate })
 }
 
-func measureFleet(binaries string, n int) (Idle, error) {
-	b, err := newBench(binaries)
+func measureFleet(binaries string, n int) (IdleCost, error) {
+	f, err := newTestFleet(binaries)
 	if err != nil {
-		return Idle{}, err
+		return IdleCost{}, err
 	}
-	defer b.close()
+	defer f.close()
 	time.Sleep(500 * time.Millisecond)
 	for i := range n {
-		if err := b.startInstance(i); err != nil {
-			return Idle{}, err
+		if err := f.startInstance(i); err != nil {
+			return IdleCost{}, err
 		}
 	}
-	if err := b.awaitReady(); err != nil {
-		return Idle{}, err
+	if err := f.awaitReady(); err != nil {
+		return IdleCost{}, err
 	}
-	time.Sleep(settleTime)
-	run, err := b.idle()
+	time.Sleep(settleDuration)
+	run, err := f.measureIdle()
 	if err != nil {
 		return run, err
 	}
-	run.SpreadMedian, run.SpreadLast, err = b.spread()
+	run.SpreadMedian, run.SpreadLast, err = f.measureSpread()
 	return run, err
 }
 
-// sum is the fleet's counters at one moment.
-type sum struct {
-	processor                           time.Duration
-	memory                              float64
-	peers, stored, reads, writes, waits float64
+// fleetCounters holds the resident memory and the counters of all instances of a fleet, summed. The
+// counters count since the start of the instances.
+type fleetCounters struct {
+	processor                                     time.Duration
+	memoryBytes                                   float64
+	peerBytes, storeBytes, reads, writes, watches float64
 }
 
-func (b *bench) sum() (sum, error) {
-	var s sum
-	for _, c := range b.instances {
-		processor, memory, err := c.usage()
+func (f *testFleet) readCounters() (fleetCounters, error) {
+	var s fleetCounters
+	for _, p := range f.instances {
+		processor, memory, err := p.readUsage()
 		if err != nil {
 			return s, err
 		}
-		counters, err := c.counters()
+		counters, err := p.readCounters()
 		if err != nil {
 			return s, err
 		}
 		s.processor += processor
-		s.memory += memory
-		s.peers += counters["peers.bytes_in"] + counters["peers.bytes_out"]
-		s.stored += counters["store.bytes"]
+		s.memoryBytes += memory
+		s.peerBytes += counters["peers.bytes_in"] + counters["peers.bytes_out"]
+		s.storeBytes += counters["store.bytes"]
 		s.reads += counters["store.reads"]
 		s.writes += counters["store.writes"]
-		s.waits += counters["store.watches"]
+		s.watches += counters["store.watches"]
 	}
 	return s, nil
 }
 
-func (b *bench) idle() (Idle, error) {
-	before, err := b.sum()
+// measureIdle measures the cost of the instances over measureDuration.
+func (f *testFleet) measureIdle() (IdleCost, error) {
+	before, err := f.readCounters()
 	if err != nil {
-		return Idle{}, err
+		return IdleCost{}, err
 	}
 	start := time.Now()
-	time.Sleep(measureTime)
-	after, err := b.sum()
+	time.Sleep(measureDuration)
+	after, err := f.readCounters()
 	seconds := time.Since(start).Seconds()
-	n := float64(len(b.instances))
-	return Idle{
-		Instances:  len(b.instances),
-		Processor:  100 * (after.processor - before.processor).Seconds() / seconds / n,
-		Memory:     after.memory / n,
-		PeerBytes:  (after.peers - before.peers) / seconds / n,
-		StoreBytes: (after.stored - before.stored) / seconds / n,
-		Reads:      (after.reads - before.reads) / seconds,
-		Writes:     (after.writes - before.writes) / seconds,
-		Watches:    (after.waits - before.waits) / seconds,
+	n := float64(len(f.instances))
+	return IdleCost{
+		Instances:        len(f.instances),
+		ProcessorPercent: 100 * (after.processor - before.processor).Seconds() / seconds / n,
+		MemoryBytes:      after.memoryBytes / n,
+		PeerByteRate:     (after.peerBytes - before.peerBytes) / seconds / n,
+		StoreByteRate:    (after.storeBytes - before.storeBytes) / seconds / n,
+		ReadRate:         (after.reads - before.reads) / seconds,
+		WriteRate:        (after.writes - before.writes) / seconds,
+		WatchRate:        (after.watches - before.watches) / seconds,
 	}, err
 }
 
-// spread writes a document and watches it come into force at every instance, by
-// the number of services that each says it works for.
-func (b *bench) spread() (median, last time.Duration, err error) {
-	client := platform.NewClient(b.platform, 5*time.Second, nil)
-	text := acceptedOf(10).Text
+// measureSpread writes a document and measures when it is in force at each instance: when the
+// instance's metrics count a service.
+func (f *testFleet) measureSpread() (median, last time.Duration, err error) {
+	client := platform.NewClient(f.platformAddress, 5*time.Second, nil)
+	text := acceptedDocument(10).Text
 	start := time.Now()
 	if _, err := client.Put(context.Background(), configsync.DocumentPrefix+"s", text, store.NoPosition); err != nil {
 		return 0, 0, err
 	}
 	var times []time.Duration
-	waiting := append([]*child(nil), b.instances...)
-	for len(waiting) > 0 && time.Since(start) < spreadLimit {
+	waiting := append([]*process(nil), f.instances...)
+	for len(waiting) > 0 && time.Since(start) < spreadTimeout {
 		kept := waiting[:0]
-		for _, c := range waiting {
-			counters, err := c.counters()
+		for _, p := range waiting {
+			counters, err := p.readCounters()
 			if err == nil && counters["config.services"] > 0 {
 				times = append(times, time.Since(start))
 				continue
 			}
-			kept = append(kept, c)
+			kept = append(kept, p)
 		}
 		waiting = kept
 		time.Sleep(10 * time.Millisecond)
 	}
 	if len(waiting) > 0 {
-		return 0, 0, fmt.Errorf("%d instances did not apply the document within %v", len(waiting), spreadLimit)
+		return 0, 0, fmt.Errorf("%d of %d instances did not apply the document within %v", len(waiting), len(f.instances), spreadTimeout)
 	}
 	return times[len(times)/2], times[len(times)-1], nil
 }
--- a/pkg/capacity/micro.go
+++ b/pkg/capacity/micro.go
@@ -26,52 +26,54 @@
 	"github.com/lavenderring/lavenderring/pkg/peer"
 )
 
-// Micro holds what single operations cost, measured inside one process. Times
-// are in microseconds of processor, sizes in bytes.
-type Micro struct {
-	// ReserveSettle is one request's hot path; BareMap two map updates.
-	ReserveSettle, BareMap float64
-	// Pick is choosing among 600 replicas.
-	Pick float64
-	// Call is one call between instances over loopback, both ends together.
-	Call float64
-	// CallBytes is what it puts on the wire, both ways.
+// MicroCosts holds the costs of single operations, measured within one process. Times are in
+// microseconds, sizes in bytes. The lines are over the number that their comment names.
+type MicroCosts struct {
+	// ReserveSettleMicros is the time to reserve and settle a request, which every request needs;
+	// MapUpdatesMicros is that of two updates of a plain map, for comparison.
+	ReserveSettleMicros, MapUpdatesMicros float64
+	// PickMicros is the time to choose among 600 upstreams.
+	PickMicros float64
+	// CallMicros is the processor time of a call between instances over loopback, both ends
+	// together.
+	CallMicros float64
+	// CallBytes is the number of bytes that the call sends, in both directions.
 	CallBytes float64
-	// ShardBytes and ShardTime are a ledger shard's size and the time to decode
-	// and encode it, over its budgets with two grants each.
-	ShardBytes, ShardTime Line
-	// ClaimBytes and ClaimTime are the same for a claim shard, over its claims.
-	ClaimBytes, ClaimTime Line
+	// ShardBytes and ShardMicros are the size of a ledger shard and the time to decode and encode
+	// it, over its budgets, with two grants each.
+	ShardBytes, ShardMicros Line
+	// ClaimBytes and ClaimMicros are the same for a claim shard, over its claims.
+	ClaimBytes, ClaimMicros Line
 	// BillBytes is the size of a bill segment over its records.
 	BillBytes Line
-	// DigestBytes is a heartbeat's size over the members named in it.
-	DigestBytes Line
-	// LotMemory, MemberMemory, AccountMemory are memory over budgets with a lot,
-	// known members, and accounts in documents.
-	LotMemory, MemberMemory, AccountMemory Line
-	// ApplyTime is the time to bring a document into force over its accounts.
-	ApplyTime Line
+	// HeartbeatBytes is the size of a heartbeat over the members named in it.
+	HeartbeatBytes Line
+	// LotBytes, MemberBytes and AccountBytes are heap memory over budgets with a lot, known
+	// members, and accounts in a document.
+	LotBytes, MemberBytes, AccountBytes Line
+	// ApplyMicros is the time to bring a document into force, over its accounts.
+	ApplyMicros Line
 }
 
-// MeasureMicro runs the measurements; it takes about a minute.
-func MeasureMicro() (Micro, error) {
-	m := Micro{
-		ReserveSettle: perOp(benchReserve),
-		BareMap:       perOp(benchMap),
-		Pick:          perOp(benchPick),
-		ShardBytes:    over(shardSizes, func(n int) float64 { return float64(len(encodedShard(n))) }),
-		ShardTime:     over(shardSizes, shardTime),
-		ClaimBytes:    over(claimSizes, func(n int) float64 { return float64(len(encodedClaims(n))) }),
-		ClaimTime:     over(claimSizes, claimTime),
-		BillBytes:     over([]int{10, 100, 1000}, billBytes),
-		DigestBytes:   over([]int{1, 8, 16}, digestBytes),
-		LotMemory:     over([]int{1000, 10_000, 53_000}, lotMemory),
-		MemberMemory:  over([]int{10, 100, 330}, memberMemory),
-		AccountMemory: over([]int{100, 1000, 10_000}, accountMemory),
-		ApplyTime:     over([]int{100, 1000, 10_000}, applyTime),
+// MeasureMicro measures the costs of single operations. It takes about a minute.
+func MeasureMicro() (MicroCosts, error) {
+	m := MicroCosts{
+		ReserveSettleMicros: measureMicros(benchReserve),
+		MapUpdatesMicros:    measureMicros(benchMap),
+		PickMicros:          measureMicros(benchPick),
+		ShardBytes:          fitOver(shardSizes, func(n int) float64 { return float64(len(encodeShard(n))) }),
+		ShardMicros:         fitOver(shardSizes, measureShardMicros),
+		ClaimBytes:          fitOver(claimSizes, func(n int) float64 { return float64(len(encodeClaims(n))) }),
+		ClaimMicros:         fitOver(claimSizes, measureClaimMicros),
+		BillBytes:           fitOver([]int{10, 100, 1000}, billSegmentBytes),
+		HeartbeatBytes:      fitOver([]int{1, 8, 16}, heartbeatBytes),
+		LotBytes:            fitOver([]int{1000, 10_000, 53_000}, measureLotBytes),
+		MemberBytes:         fitOver([]int{10, 100, 330}, measureMemberBytes),
+		AccountBytes:        fitOver([]int{100, 1000, 10_000}, measureAccountBytes),
+		ApplyMicros:         fitOver([]int{100, 1000, 10_000}, measureApplyMicros),
 	}
 	var err error
-	m.Call, m.CallBytes, err = callCost()
+	m.CallMicros, m.CallBytes, err = measureCall()
 	return m, err
 }
 
@@ -80,7 +82,8 @@
 	claimSizes = []int{10, 100, 500, 1000}
 )
 
-func over(sizes []int, measure func(int) float64) Line {
+// fitOver measures at each size and returns the line through the results.
+func fitOver(sizes []int, measure func(int) float64) Line {
 	var xs, ys []float64
 	for _, n := range sizes {
 		xs = append(xs, float64(n))
@@ -89,8 +92,8 @@
 	return fit(xs, ys)
 }
 
-// perOp returns an operation's time in microseconds.
-func perOp(bench func(*testing.B)) float64 {
+// measureMicros returns the elapsed time of one operation in microseconds.
+func measureMicros(bench func(*testing.B)) float64 {
 	result := testing.Benchmark(bench)
 	return float64(result.T.Nanoseconds()) / float64(result.N) / 1000
 }
@@ -103,7 +106,7 @@
 	return ids
 }
 
-// targetBudgets is the number of budgets that decides the design.
+// targetBudgets is the number of budgets that the design is made for.
 const targetBudgets = 53_000
 
 func benchReserve(b *testing.B) {
@@ -144,10 +147,10 @@
 	}
 }
 
-// typicalIncarnation has the length of real ones.
+// typicalIncarnation is as long as the incarnations of real instances.
 const typicalIncarnation = "instance-100-01M8W0TS8NPADF4MF295G3Y99W"
 
-func encodedShard(budgets int) []byte {
+func encodeShard(budgets int) []byte {
 	s, _ := ledger.Decode(nil)
 	amounts := map[string]int64{}
 	for _, id := range budgetIDs(budgets) {
@@ -166,9 +169,9 @@
 	return value
 }
 
-func shardTime(budgets int) float64 {
-	value := encodedShard(budgets)
-	return perOp(func(b *testing.B) {
+func measureShardMicros(budgets int) float64 {
+	value := encodeShard(budgets)
+	return measureMicros(func(b *testing.B) {
 		for b.Loop() {
 			s, err := ledger.Decode(value)
 			if err == nil {
@@ -178,7 +181,7 @@
 	})
 }
 
-func encodedClaims(claims int) []byte {
+func encodeClaims(claims int) []byte {
 	s := claim.Shard{Claims: map[string]*claim.Claim{}}
 	for n := range claims {
 		s.Claims[claim.Key("service/account", fmt.Sprint(n))] = &claim.Claim{
@@ -194,9 +197,9 @@
 	return value
 }
 
-func claimTime(claims int) float64 {
-	value := encodedClaims(claims)
-	return perOp(func(b *testing.B) {
+func measureClaimMicros(claims int) float64 {
+	value := encodeClaims(claims)
+	return measureMicros(func(b *testing.B) {
 		for b.Loop() {
 			var s claim.Shard
 			if json.Unmarshal(value, &s) == nil {
@@ -206,7 +209,7 @@
 	})
 }
 
-func billBytes(records int) float64 {
+func billSegmentBytes(records int) float64 {
 	segment := bill.Segment{Incarnation: typicalIncarnation}
 	for n := range records {
 		segment.Records = append(segment.Records, &billpb.Record{
@@ -225,7 +228,7 @@
 	}
 }
 
-func digestBytes(members int) float64 {
+func heartbeatBytes(members int) float64 {
 	d := &memberpb.Digest{From: typicalMember(0)}
 	for n := range members {
 		d.Known = append(d.Known, typicalMember(n))
@@ -233,8 +236,8 @@
 	return float64(proto.Size(d))
 }
 
-// heapOf returns the heap that what build makes keeps alive, in bytes.
-func heapOf(build func() any) float64 {
+// measureHeapBytes returns the heap memory that the result of build retains.
+func measureHeapBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -245,8 +248,8 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-func lotMemory(budgets int) float64 {
-	return heapOf(func() any {
+func measureLotBytes(budgets int) float64 {
+	return measureHeapBytes(func() any {
 		s := budget.NewSpender("s")
 		for _, id := range budgetIDs(budgets) {
 			lot := &budgetpb.Lot{Grant: id + typicalIncarnation, Holder: typicalIncarnation, Allocated: 1000}
@@ -256,8 +259,8 @@
 	})
 }
 
-func memberMemory(members int) float64 {
-	return heapOf(func() any {
+func measureMemberBytes(members int) float64 {
+	return measureHeapBytes(func() any {
 		t := member.NewTable(member.Config{Self: typicalMember(-1), Fanout: member.DefaultFanout, Now: time.Now})
 		for n := range members {
 			t.Learn(typicalMember(n), true)
@@ -266,7 +269,7 @@
 	})
 }
 
-func acceptedOf(accounts int) configsync.Accepted {
+func acceptedDocument(accounts int) configsync.Accepted {
 	text := []byte("service = \"s\"\n[[pools]]\nname = \"p\"\nkind = \"plain\"\n")
 	for n := range accounts {
 		text = fmt.Appendf(text, "[[accounts]]\nname = \"account-%05d\"\nkey_sha256 = %q\nprepaid_tokens = 1000000\n",
@@ -275,18 +278,18 @@
 	return configsync.Accepted{Service: "s", Generation: 1, Text: text}
 }
 
-func accountMemory(accounts int) float64 {
-	accepted := acceptedOf(accounts)
-	return heapOf(func() any {
+func measureAccountBytes(accounts int) float64 {
+	accepted := acceptedDocument(accounts)
+	return measureHeapBytes(func() any {
 		s := configsync.NewState(func(*configsync.InForce) {})
 		_, _ = s.Apply(accepted)
 		return s
 	})
 }
 
-func applyTime(accounts int) float64 {
-	accepted := acceptedOf(accounts)
-	return perOp(func(b *testing.B) {
+func measureApplyMicros(accounts int) float64 {
+	accepted := acceptedDocument(accounts)
+	return measureMicros(func(b *testing.B) {
 		for b.Loop() {
 			s := configsync.NewState(func(*configsync.InForce) {})
 			_, _ = s.Apply(accepted)
@@ -294,20 +297,20 @@
 	})
 }
 
-// idle answers nothing but what callCost asks.
-type idle struct{ budgetpb.DRPCBudgetsServer }
+// allocateServer answers the call that measureCall measures, and no other.
+type allocateServer struct{ budgetpb.DRPCBudgetsServer }
 
-// Allocate implements the budgets service.
-func (idle) Allocate(context.Context, *budgetpb.AllocateRequest) (*budgetpb.AllocateReply, error) {
+// Allocate implements the Allocate call of the budgets service.
+func (allocateServer) Allocate(context.Context, *budgetpb.AllocateRequest) (*budgetpb.AllocateReply, error) {
 	lot := &budgetpb.Lot{Grant: typicalIncarnation + "#1", Holder: typicalIncarnation, Witness: typicalIncarnation, Allocated: 1e9}
 	return &budgetpb.AllocateReply{Lots: []*budgetpb.Lot{lot}}, nil
 }
 
-// callCost returns the processor time, in microseconds, and the bytes of one
-// allocation between two instances, both ends in this process.
-func callCost() (micros, bytes float64, err error) {
+// measureCall returns the processor time, in microseconds, and the bytes of an Allocate call
+// between two instances, with both ends in this process.
+func measureCall() (micros, bytes float64, err error) {
 	var traffic peer.Traffic
-	server, err := peer.Listen("127.0.0.1:0", peer.Handlers{Budgets: idle{}}, &traffic, nil)
+	server, err := peer.Listen("127.0.0.1:0", peer.Handlers{Budgets: allocateServer{}}, &traffic, nil)
 	if err != nil {
 		return 0, 0, err
 	}
--- a/pkg/capacity/model.go
+++ b/pkg/capacity/model.go
@@ -2,83 +2,85 @@
 
 import "math"
 
-// The size that the design is made for, and the limits.
+// The fleet and the load that the design is made for, and the limits that it must keep.
 const (
-	targetNodes       = 330
+	targetInstances   = 330
 	requestsPerSecond = 8900.0
 	tokensPerSecond   = 2_700_000.0
 	targetAccounts    = 30_000
 	editsPerDay       = 720.0
-	// limitProcessor, limitMemory and limitBytes are a node's for control.
-	limitProcessor = 3.2
-	limitMemory    = 32e6
-	limitBytes     = 23e3
-	// limitWrites and limitReads are the platform's, a second.
-	limitWrites = 300.0
-	limitReads  = 2000.0
+	// maxProcessorPercent, maxMemoryBytes and maxByteRate bound what control work may cost on one
+	// instance; the processor is in percent of a core, the rate in bytes a second.
+	maxProcessorPercent = 3.2
+	maxMemoryBytes      = 32e6
+	maxByteRate         = 23e3
+	// maxWriteRate and maxReadRate are the limits of the platform, in calls a second.
+	maxWriteRate = 300.0
+	maxReadRate  = 2000.0
 )
 
-// What is not given and the model assumes; the page says so.
+// Assumptions of the model about values that are not given. The page names them as assumptions.
 const (
-	// keyedShare is the part of the requests that may not be repeated.
+	// keyedShare is the share of requests that carry an idempotency key, since they must not run
+	// twice.
 	keyedShare = 0.1
-	// claimShards and ledgerShardsPerNode are the settings assumed.
-	claimShards         = 256
-	ledgerShardsPerNode = 1.0
-	// requestLength is how many seconds a request is in progress, on average.
-	requestLength = 5.0
-	// rackNodes is how many nodes a rack or switch takes with it.
-	rackNodes = 10
+	// claimShards and ledgerShardsPerInstance are the assumed settings.
+	claimShards             = 256
+	ledgerShardsPerInstance = 1.0
+	// requestSeconds is how long a request is in progress, on average.
+	requestSeconds = 5.0
+	// rackInstances is the number of instances that fail together with a rack or a switch.
+	rackInstances = 10
 )
 
-// Paces of the code that the model repeats.
+// Intervals, rates and bounds of the code, which the model repeats.
 const (
-	foldSeconds      = 5.0
-	flushSeconds     = 5.0
-	listSeconds      = 5.0
-	registerSeconds  = 30.0
-	pollSeconds      = 30.0
-	watchSeconds     = 2.0
-	heartbeatSeconds = 1.0
-	signedSeconds    = 2.0
-	aheadSeconds     = 2.0
-	copiesPerSecond  = 5.0
-	heartbeatFanout  = 8.0
-	failureDomains   = 8.0
-	digestMembers    = 1.0
+	recordIntervalSeconds    = 5.0
+	flushIntervalSeconds     = 5.0
+	listIntervalSeconds      = 5.0
+	registerIntervalSeconds  = 30.0
+	pollIntervalSeconds      = 30.0
+	watchIntervalSeconds     = 2.0
+	heartbeatIntervalSeconds = 1.0
+	signAheadSeconds         = 2.0
+	allocateAheadSeconds     = 2.0
+	copiesPerSecond          = 5.0
+	heartbeatFanout          = 8.0
+	numFailureDomains        = 8.0
+	digestMembers            = 1.0
 )
 
-// Cost is what one role costs on one node.
+// Cost is the cost of one role on one instance.
 type Cost struct {
-	// Role names the role; Carrier the mechanism in the code.
-	Role, Carrier string
-	// Calls are messages with peers a second, both directions.
-	Calls float64
-	// PeerBytes and StoreBytes are a second.
-	PeerBytes, StoreBytes float64
-	// Processor is in percent of a core; Memory in bytes.
-	Processor, Memory float64
-	// Reads, Writes and Watches are calls to the store a second by all nodes.
-	Reads, Writes, Watches float64
-	// From names the measurements it is worked out from.
-	From string
+	// Role names the role, Mechanism the code that carries it out.
+	Role, Mechanism string
+	// MessageRate is the number of messages exchanged with peers in a second, in both directions.
+	MessageRate float64
+	// PeerByteRate and StoreByteRate are bytes a second.
+	PeerByteRate, StoreByteRate float64
+	// ProcessorPercent is in percent of a core.
+	ProcessorPercent, MemoryBytes float64
+	// ReadRate, WriteRate and WatchRate are calls a second to the store by all instances together.
+	ReadRate, WriteRate, WatchRate float64
+	// Measurements names the measurements that the cost is derived from.
+	Measurements string
 }
 
-// Model is what the measurements say.
+// Model derives the costs of a fleet from measurements.
 type Model struct {
-	Micro  Micro
-	Fleets Fleets
+	Micro  MicroCosts
+	Fleets FleetCosts
 }
 
-// perNode returns what grows with the fleet: everything keeps its share of the
-// target size.
-func perNode(total float64) float64 { return total / targetNodes }
+// perInstance returns the share of one instance in a total of the target fleet. It is the same at
+// all fleet sizes, since the load is taken as proportional to the fleet.
+func perInstance(total float64) float64 { return total / targetInstances }
 
-// call returns the processor share, in percent of a core, of calls a second,
-// each with both ends.
-func (m Model) call(calls float64) float64 { return calls * m.Micro.Call / 1e6 * 100 }
+// callPercent returns the processor time, in percent of a core, of a number of calls a second, each
+// with both ends.
+func (m Model) callPercent(calls float64) float64 { return calls * m.Micro.CallMicros / 1e6 * 100 }
 
-// Roles returns the costs of all roles on one node of a fleet of n.
+// Roles returns the costs of all roles on one instance of a fleet of n.
 func (m Model) Roles(n float64) []Cost {
 	return []Cost{
 		m.entry(), m.dispatcher(), m.spender(), m.holder(n), m.witness(),
@@ -87,166 +89,170 @@
 }
 
 func (m Model) entry() Cost {
-	rate := perNode(requestsPerSecond)
+	rate := perInstance(requestsPerSecond)
 	return Cost{
-		Role: "entry", Carrier: "`entry`, `TryReserve` and `Settle` on lots at hand",
-		Processor: rate * m.Micro.ReserveSettle / 1e6 * 100,
-		From:      "reserve and settle",
+		Role: "entry", Mechanism: "`entry`, `TryReserve` and `Settle` on lots at hand",
+		ProcessorPercent: rate * m.Micro.ReserveSettleMicros / 1e6 * 100,
+		Measurements:     "reserve and settle",
 	}
 }
 
 func (m Model) dispatcher() Cost {
-	rate := perNode(requestsPerSecond)
+	rate := perInstance(requestsPerSecond)
 	return Cost{
-		Role: "dispatcher", Carrier: "`dispatch.Pool`: eight drawn candidates and the prefix's own",
-		Processor: rate * m.Micro.Pick / 1e6 * 100,
-		From:      "pick among 600",
+		Role: "dispatcher", Mechanism: "`dispatch.Pool`: eight drawn candidates and the prefix's own",
+		ProcessorPercent: rate * m.Micro.PickMicros / 1e6 * 100,
+		Measurements:     "pick among 600",
 	}
 }
 
-// spender asks a holder for nearly every request, since a request's budget is
-// seldom one that the node has served just before, and reports a second later;
-// what it does not use it returns with another report.
+// spender returns the cost of the spender. It calls a holder for nearly every request, since the
+// instance has seldom served another request of the same budget just before. It reports usage a
+// second later and returns unused tokens with another report: three calls for a request.
 func (m Model) spender() Cost {
-	rate := perNode(requestsPerSecond)
+	rate := perInstance(requestsPerSecond)
 	calls := rate * 3
 	return Cost{
-		Role: "spender", Carrier: "`budget.Spender`; `Allocate` and `Report` to the holder in the domain",
-		Calls:     calls,
-		PeerBytes: calls * m.Micro.CallBytes,
-		Processor: m.call(calls / 2),
-		Memory:    m.Micro.LotMemory.Slope * targetBudgets,
-		From:      "call between instances, memory of a lot",
+		Role: "spender", Mechanism: "`budget.Spender`; `Allocate` and `Report` to the holder in the domain",
+		MessageRate:      calls,
+		PeerByteRate:     calls * m.Micro.CallBytes,
+		ProcessorPercent: m.callPercent(calls / 2),
+		MemoryBytes:      m.Micro.LotBytes.Slope * targetBudgets,
+		Measurements:     "call between instances, memory of a lot",
 	}
 }
 
-// holder answers as many calls as the spenders make, and brings each of its
-// shards up to date: one read and one write every fold.
+// holder returns the cost of the grant holder. It answers as many calls as the spenders make, and
+// updates each of its ledger shards with one read and one write every recordIntervalSeconds.
 func (m Model) holder(n float64) Cost {
-	calls := perNode(requestsPerSecond) * 3
-	holdings := ledgerShardsPerNode * failureDomains
-	budgets := perNode(targetBudgets) / ledgerShardsPerNode
-	visits := holdings / foldSeconds
+	calls := perInstance(requestsPerSecond) * 3
+	holdings := ledgerShardsPerInstance * numFailureDomains
+	budgets := perInstance(targetBudgets) / ledgerShardsPerInstance
+	visits := holdings / recordIntervalSeconds
 	return Cost{
-		Role: "grant holder", Carrier: "`budget.Holder`; one conditional write for a shard each fold",
-		Calls:      calls,
-		PeerBytes:  calls * m.Micro.CallBytes,
-		StoreBytes: visits * 2 * m.Micro.ShardBytes.At(budgets),
-		Processor:  m.call(calls/2) + visits*m.Micro.ShardTime.At(budgets)/1e6*100,
-		Memory:     holdings * budgets * m.Micro.LotMemory.Slope,
-		Reads:      n * visits,
-		Writes:     n * visits,
-		From:       "call between instances, ledger shard",
+		Role: "grant holder", Mechanism: "`budget.Holder`; one conditional write for a shard each fold",
+		MessageRate:      calls,
+		PeerByteRate:     calls * m.Micro.CallBytes,
+		StoreByteRate:    visits * 2 * m.Micro.ShardBytes.At(budgets),
+		ProcessorPercent: m.callPercent(calls/2) + visits*m.Micro.ShardMicros.At(budgets)/1e6*100,
+		MemoryBytes:      holdings * budgets * m.Micro.LotBytes.Slope,
+		ReadRate:         n * visits,
+		WriteRate:        n * visits,
+		Measurements:     "call between instances, ledger shard",
 	}
 }
 
-// witness signs on demand for budgets that were idle, and once a second for the
-// others; it asks as holder as often as it is asked.
+// witness returns the cost of the witness. It signs on demand for budgets that were idle, and once
+// a second for the others. The instance sends as many of these calls, as a holder, as it answers.
 func (m Model) witness() Cost {
-	calls := (perNode(requestsPerSecond) + 1) * 2
+	calls := (perInstance(requestsPerSecond) + 1) * 2
 	return Cost{
-		Role: "witness", Carrier: "`budget.Witness`; `Sign` from the holders whose partner it is",
-		Calls:     calls,
-		PeerBytes: calls * m.Micro.CallBytes,
-		Processor: m.call(calls / 2),
-		Memory:    failureDomains * perNode(targetBudgets) * m.Micro.LotMemory.Slope,
-		From:      "call between instances",
+		Role: "witness", Mechanism: "`budget.Witness`; `Sign` from the holders whose partner it is",
+		MessageRate:      calls,
+		PeerByteRate:     calls * m.Micro.CallBytes,
+		ProcessorPercent: m.callPercent(calls / 2),
+		MemoryBytes:      numFailureDomains * perInstance(targetBudgets) * m.Micro.LotBytes.Slope,
+		Measurements:     "call between instances",
 	}
 }
 
-// billPeer copies two records for each request, opened and settled.
+// billPeer returns the cost of bill records: two for each request, when it opens and when it
+// settles.
 func (m Model) billPeer(n float64) Cost {
-	records := 2 * perNode(requestsPerSecond)
+	records := 2 * perInstance(requestsPerSecond)
 	return Cost{
-		Role: "bill peer", Carrier: "`bill.Journal`, `bill.Keeper`; a segment for each flush",
-		Calls:      2 * copiesPerSecond,
-		PeerBytes:  2 * records * m.Micro.BillBytes.Slope / 2,
-		StoreBytes: records * m.Micro.BillBytes.Slope,
-		Processor:  m.call(copiesPerSecond),
-		Memory:     2 * records * flushSeconds * m.Micro.BillBytes.Slope,
-		Writes:     n / flushSeconds,
-		From:       "bill segment, call between instances",
+		Role: "bill peer", Mechanism: "`bill.Journal`, `bill.Keeper`; a segment for each flush",
+		MessageRate:      2 * copiesPerSecond,
+		PeerByteRate:     2 * records * m.Micro.BillBytes.Slope / 2,
+		StoreByteRate:    records * m.Micro.BillBytes.Slope,
+		ProcessorPercent: m.callPercent(copiesPerSecond),
+		MemoryBytes:      2 * records * flushIntervalSeconds * m.Micro.BillBytes.Slope,
+		WriteRate:        n / flushIntervalSeconds,
+		Measurements:     "bill segment, call between instances",
 	}
 }
 
-// claimWriter takes and finishes each keyed request with a read and a write of
-// its shard; groups form only within a node, and seldom at this rate.
+// claimWriter returns the cost of claims. Each keyed request needs a read and a write of its shard
+// for its claim, and again for its outcome. Writes are grouped only within an instance, and seldom
+// at this rate.
 func (m Model) claimWriter(n float64) Cost {
-	rate := perNode(requestsPerSecond) * keyedShare
-	const kept = 1000 // claims in a shard; see the page on what a day would make it
+	rate := perInstance(requestsPerSecond) * keyedShare
+	const kept = 1000 // claims in a shard; the page says how many a day would make
 	return Cost{
-		Role: "claim writer", Carrier: "`claim.Claimer`; group commit within a node",
-		StoreBytes: rate * 2 * 2 * m.Micro.ClaimBytes.At(kept),
-		Processor:  rate * 2 * m.Micro.ClaimTime.At(kept) / 1e6 * 100,
-		Reads:      n * rate * 2,
-		Writes:     n * rate * 2,
-		From:       "claim shard",
+		Role: "claim writer", Mechanism: "`claim.Claimer`; group commit within a node",
+		StoreByteRate:    rate * 2 * 2 * m.Micro.ClaimBytes.At(kept),
+		ProcessorPercent: rate * 2 * m.Micro.ClaimMicros.At(kept) / 1e6 * 100,
+		ReadRate:         n * rate * 2,
+		WriteRate:        n * rate * 2,
+		Measurements:     "claim shard",
 	}
 }
 
-// configuration: one watcher in each domain; the others poll and learn from
-// heartbeats. Each poll lists every document.
+// configuration returns the cost of the configuration. One instance in each failure domain watches
+// the store; the others poll it and learn of changes from heartbeats. Each poll lists every
+// document.
 func (m Model) configuration(n float64) Cost {
-	const bytesPerAccount = 150.0 // of a document's text, twice: stored and accepted
+	const bytesPerAccount = 150.0 // of a document's text, which is kept twice: as stored and as accepted
 	documents := 2 * targetAccounts * bytesPerAccount * 4 / 3
 	edits := editsPerDay / 86_400
 	return Cost{
-		Role: "configuration watcher and relay", Carrier: "`configsync`; one watch in each domain, spread by heartbeats",
-		StoreBytes: documents / pollSeconds,
-		PeerBytes:  edits * documents,
-		Processor:  edits * m.Micro.ApplyTime.At(targetAccounts) / 1e6 * 100,
-		Memory:     m.Micro.AccountMemory.Slope * targetAccounts,
-		Reads:      n / pollSeconds,
-		Watches:    failureDomains / watchSeconds,
-		From:       "document in force, memory of an account",
+		Role: "configuration watcher and relay", Mechanism: "`configsync`; one watch in each domain, spread by heartbeats",
+		StoreByteRate:    documents / pollIntervalSeconds,
+		PeerByteRate:     edits * documents,
+		ProcessorPercent: edits * m.Micro.ApplyMicros.At(targetAccounts) / 1e6 * 100,
+		MemoryBytes:      m.Micro.AccountBytes.Slope * targetAccounts,
+		ReadRate:         n / pollIntervalSeconds,
+		WatchRate:        numFailureDomains / watchIntervalSeconds,
+		Measurements:     "document in force, memory of an account",
 	}
 }
 
-// memberRole: heartbeats go to a bounded number of peers; the platform's list is
-// read whole.
+// memberRole returns the cost of membership. Heartbeats go to a bounded number of peers; the
+// platform's list of members is read completely.
 func (m Model) memberRole(n float64) Cost {
-	beats := math.Min(heartbeatFanout, n-1) / heartbeatSeconds
+	beats := math.Min(heartbeatFanout, n-1) / heartbeatIntervalSeconds
 	const listedBytes = 300.0 // of one member in the platform's list
 	return Cost{
-		Role: "member", Carrier: "`member.Table`; heartbeats to 8 peers a round",
-		Calls:      2 * beats,
-		PeerBytes:  2 * beats * 2 * m.Micro.DigestBytes.At(digestMembers),
-		StoreBytes: n * listedBytes / listSeconds,
-		Processor:  m.call(beats),
-		Memory:     n * m.Micro.MemberMemory.Slope,
-		Reads:      n/listSeconds + n/registerSeconds,
-		From:       "heartbeat, memory of a member, idle fleets",
+		Role: "member", Mechanism: "`member.Table`; heartbeats to 8 peers a round",
+		MessageRate:      2 * beats,
+		PeerByteRate:     2 * beats * 2 * m.Micro.HeartbeatBytes.At(digestMembers),
+		StoreByteRate:    n * listedBytes / listIntervalSeconds,
+		ProcessorPercent: m.callPercent(beats),
+		MemoryBytes:      n * m.Micro.MemberBytes.Slope,
+		ReadRate:         n/listIntervalSeconds + n/registerIntervalSeconds,
+		Measurements:     "heartbeat, memory of a member, idle fleets",
 	}
 }
 
+// administration returns the cost of the administration routes.
 func (m Model) administration() Cost {
 	return Cost{
-		Role: "administration", Carrier: "`instance` admin routes; nothing unless asked",
-		Memory: 8192 * 400, // the events kept, by their bound
-		From:   "bound in the code",
+		Role: "administration", Mechanism: "`instance` admin routes; nothing unless asked",
+		MemoryBytes:  8192 * 400, // the largest number of kept events, 400 bytes each
+		Measurements: "bound in the code",
 	}
 }
 
-// Total adds the roles up.
+// Total returns the sum of the costs of the roles.
 func Total(costs []Cost) Cost {
 	t := Cost{Role: "**all roles**"}
 	for _, c := range costs {
-		t.Calls += c.Calls
-		t.PeerBytes += c.PeerBytes
-		t.StoreBytes += c.StoreBytes
-		t.Processor += c.Processor
-		t.Memory += c.Memory
-		t.Reads += c.Reads
-		t.Writes += c.Writes
-		t.Watches += c.Watches
+		t.MessageRate += c.MessageRate
+		t.PeerByteRate += c.PeerByteRate
+		t.StoreByteRate += c.StoreByteRate
+		t.ProcessorPercent += c.ProcessorPercent
+		t.MemoryBytes += c.MemoryBytes
+		t.ReadRate += c.ReadRate
+		t.WriteRate += c.WriteRate
+		t.WatchRate += c.WatchRate
 	}
 	return t
 }
 
-// firstOver returns the smallest fleet, with everything in proportion, at which a
-// value passes its limit; 0 if it does not up to the target size.
-func (m Model) firstOver(role int, value func(Cost) float64, limit float64) int {
-	for n := 1; n <= targetNodes; n++ {
+// minSizeOver returns the smallest fleet size, with the load in proportion to it, at which a value
+// of a role exceeds its limit; 0 if there is none up to the target size.
+func (m Model) minSizeOver(role int, value func(Cost) float64, limit float64) int {
+	for n := 1; n <= targetInstances; n++ {
 		if value(m.Roles(float64(n))[role]) > limit {
 			return n
 		}
--- a/pkg/capacity/process.go
+++ b/pkg/capacity/process.go
@@ -2,7 +2,7 @@
 
 import (
 	"encoding/json"
-	"errors"
+
 	"fmt"
 	"net/http"
 	"os"
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// processorTime returns the processor time of this process.
+// processorTime returns the processor time that this process has used, 0 if it is unknown.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -23,31 +23,31 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// clockTicks is the kernel's unit of processor time in /proc, for a second.
+// clockTicks is the number of units of processor time in a second, as /proc counts them.
 const clockTicks = 100
 
-// child is a started process.
-type child struct {
-	cmd   *exec.Cmd
-	admin string
+// process is a started process; admin is the administration address of an instance.
+type process struct {
+	cmd          *exec.Cmd
+	adminAddress string
 }
 
-func (c *child) stop() {
-	_ = c.cmd.Process.Signal(syscall.SIGKILL)
-	_ = c.cmd.Wait()
+func (p *process) stop() {
+	_ = p.cmd.Process.Signal(syscall.SIGKILL)
+	_ = p.cmd.Wait()
 }
 
-// usage reads a process's processor time and resident memory.
-func (c *child) usage() (processor time.Duration, residentBytes float64, err error) {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.cmd.Process.Pid))
+// readUsage reads the processor time and the resident memory of the process.
+func (p *process) readUsage() (processor time.Duration, residentBytes float64, err error) {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0, err
 	}
 	_, rest, found := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(rest)
-	const utime, stime, rss = 11, 12, 21 // counted behind the command's name
+	const utime, stime, rss = 11, 12, 21 // indexes of fields after the command's name
 	if !found || len(fields) <= rss {
-		return 0, 0, errors.New("unexpected form of /proc/pid/stat")
+		return 0, 0, fmt.Errorf("unexpected format of /proc/%d/stat", p.cmd.Process.Pid)
 	}
 	user, _ := strconv.ParseFloat(fields[utime], 64)
 	system, _ := strconv.ParseFloat(fields[stime], 64)
@@ -56,9 +56,9 @@
 	return time.Duration(seconds * float64(time.Second)), pages * float64(os.Getpagesize()), nil
 }
 
-// counters reads an instance's control counters.
-func (c *child) counters() (map[string]float64, error) {
-	resp, err := http.Get("http://" + c.admin + "/metrics")
+// readCounters reads the metrics of an instance that have a numeric value.
+func (p *process) readCounters() (map[string]float64, error) {
+	resp, err := http.Get("http://" + p.adminAddress + "/metrics")
 	if err != nil {
 		return nil, err
 	}
@@ -76,9 +76,9 @@
 	return out, nil
 }
 
-// ready reports whether an instance serves.
-func (c *child) ready() bool {
-	resp, err := http.Get("http://" + c.admin + "/readyz")
+// isReady reports whether an instance serves requests.
+func (p *process) isReady() bool {
+	resp, err := http.Get("http://" + p.adminAddress + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -86,57 +86,59 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// bench is a platform with instances.
-type bench struct {
-	dir, binaries, platform string
-	platformProcess         *child
-	instances               []*child
+// testFleet is a stand-in of the platform with instances, all on loopback addresses.
+type testFleet struct {
+	dir, binaries, platformAddress string
+	platformProcess                *process
+	instances                      []*process
 }
 
-// benchPort is below the range that outgoing connections take their ports from.
-const benchPort = 7001
+// basePort is below the ephemeral range, from which outgoing connections take their ports.
+const basePort = 7001
 
-// placeAddress returns an address of the place with a number; each has an IP
-// address of its own, so that no connection can take its port before it starts.
-func placeAddress(place, offset int) string {
-	return fmt.Sprintf("127.7.%d.%d:%d", place/250, 1+place%250, benchPort+offset)
+// loopbackAddress returns an address of the process with an index. Each process has an IP address
+// of its own, so that no outgoing connection can take its port before it listens.
+func loopbackAddress(index, portOffset int) string {
+	return fmt.Sprintf("127.7.%d.%d:%d", index/250, 1+index%250, basePort+portOffset)
 }
 
-func (b *bench) run(program string, args ...string) (*child, error) {
-	cmd := exec.Command(filepath.Join(b.binaries, program), args...)
+// startProcess starts a program from the folder with the binaries.
+func (f *testFleet) startProcess(program string, args ...string) (*process, error) {
+	cmd := exec.Command(filepath.Join(f.binaries, program), args...)
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	return &child{cmd: cmd}, nil
+	return &process{cmd: cmd}, nil
 }
 
-func newBench(binaries string) (*bench, error) {
+func newTestFleet(binaries string) (*testFleet, error) {
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
 		return nil, err
 	}
-	b := &bench{dir: dir, binaries: binaries, platform: placeAddress(0, 0)}
-	b.platformProcess, err = b.run("standin", "platform", "--listen", b.platform)
-	return b, err
+	f := &testFleet{dir: dir, binaries: binaries, platformAddress: loopbackAddress(0, 0)}
+	f.platformProcess, err = f.startProcess("standin", "platform", "--listen", f.platformAddress)
+	return f, err
 }
 
-func (b *bench) close() {
-	for _, c := range b.instances {
-		c.stop()
+func (f *testFleet) close() {
+	for _, p := range f.instances {
+		p.stop()
 	}
-	b.platformProcess.stop()
-	_ = os.RemoveAll(b.dir)
+	f.platformProcess.stop()
+	_ = os.RemoveAll(f.dir)
 }
 
-// targetDomains spreads instances as the large deployment does.
-const targetDomains = 8
+// numDomains is the number of failure domains that instances are spread over, as in the large
+// deployment.
+const numDomains = 8
 
-func (b *bench) startInstance(n int) error {
+func (f *testFleet) startInstance(n int) error {
 	var addresses [3]string
 	for i := range addresses {
-		addresses[i] = placeAddress(n+1, i)
+		addresses[i] = loopbackAddress(n+1, i)
 	}
-	domain := n % targetDomains
+	domain := n % numDomains
 	text := fmt.Sprintf(`name = "instance-%03d"
 region = "region-%d"
 domain = "domain-%d"
@@ -144,29 +146,29 @@
 peer_address = %q
 admin_address = %q
 platform_address = %q
-`, n, domain/4, domain, addresses[0], addresses[1], addresses[2], b.platform)
-	path := filepath.Join(b.dir, fmt.Sprintf("%03d.toml", n))
+`, n, domain/4, domain, addresses[0], addresses[1], addresses[2], f.platformAddress)
+	path := filepath.Join(f.dir, fmt.Sprintf("%03d.toml", n))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	c, err := b.run("lavenderring", "serve", path)
+	p, err := f.startProcess("lavenderring", "serve", path)
 	if err != nil {
 		return err
 	}
-	c.admin = addresses[2]
-	b.instances = append(b.instances, c)
+	p.adminAddress = addresses[2]
+	f.instances = append(f.instances, p)
 	return nil
 }
 
-// startTimeout bounds the start of a fleet.
+// startTimeout bounds the time until all instances of a fleet are ready.
 const startTimeout = 60 * time.Second
 
-func (b *bench) awaitReady() error {
+func (f *testFleet) awaitReady() error {
 	deadline := time.Now().Add(startTimeout)
-	for _, c := range b.instances {
-		for !c.ready() {
+	for _, p := range f.instances {
+		for !p.isReady() {
 			if time.Now().After(deadline) {
-				return errors.New("the fleet did not become ready")
+				return fmt.Errorf("instance at %s was not ready within %v", p.adminAddress, startTimeout)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
