--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -24,7 +24,7 @@
 // serviceArgs are the arguments of a stand-in that serves requests.
 type serviceArgs struct {
 	listenArgs
-	FatalText string `arg:"--fatal" help:"text in a request's body that ends the stand-in"`
+	CrashMarker string `arg:"--fatal" help:"text in a request's body that ends the stand-in"`
 }
 
 type engineArgs struct {
@@ -68,9 +68,9 @@
 		_, err = standin.Start(a.Platform.Listen)
 	case a.Engine != nil:
 		e := a.Engine
-		_, err = engine.Start(engine.Config{Address: e.Listen, Slots: e.Slots, TokenMillis: e.TokenMillis, FatalText: e.FatalText})
+		_, err = engine.Start(engine.Config{Address: e.Listen, Slots: e.Slots, TokenMillis: e.TokenMillis, CrashMarker: e.CrashMarker})
 	case a.Plain != nil:
-		_, err = plain.Start(a.Plain.Listen, a.Plain.FatalText)
+		_, err = plain.Start(a.Plain.Listen, a.Plain.CrashMarker)
 	case a.Relay != nil:
 		_, err = relay.Start(a.Relay.Listen, a.Relay.Control, a.Relay.To)
 	}
--- a/pkg/experiment/blame/blame_test.go
+++ b/pkg/experiment/blame/blame_test.go
@@ -6,8 +6,9 @@
 	"github.com/lavenderring/lavenderring/pkg/quarantine"
 )
 
-// Guards against a policy that stops fatal requests by refusing harmless ones: no harmless request
-// is condemned where upstreams crash for other reasons, and few upstreams crash under a fatal body.
+// Guards against a policy that stops crashing requests by refusing harmless ones. No harmless
+// request is condemned where upstreams crash for other reasons, and few upstreams crash under a
+// crashing body.
 func TestDefaultPolicyFindsTheFatalOnly(t *testing.T) {
 	for _, scenario := range Scenarios {
 		for seed := range uint64(3) {
@@ -16,7 +17,7 @@
 				t.Errorf("%s, seed %d: %d of %d harmless requests beside a crash were condemned", scenario.Name, seed, r.Condemned, r.BesideCrash)
 			}
 			// At 50 requests a second, about eight run before the first crash is known.
-			if r.MaxCrashes > 8+quarantine.CondemnAtMost || r.LateCrashes > 3*scenario.FatalBodies {
+			if r.MaxCrashes > 8+quarantine.CondemnAtMost || r.LateCrashes > 3*scenario.CrashingBodies {
 				t.Errorf("%s, seed %d: %d upstreams crashed under one body, %d crashes came late", scenario.Name, seed, r.MaxCrashes, r.LateCrashes)
 			}
 		}
--- a/pkg/experiment/blame/request.go
+++ b/pkg/experiment/blame/request.go
@@ -11,8 +11,8 @@
 
 // request is one request of a client. The client may send it several times.
 type request struct {
-	body  string
-	fatal bool
+	body     string
+	crashing bool // whether it crashes the upstream that runs it
 	// triesLeft is how many times its client may still send it.
 	triesLeft int
 	// besideCrash reports whether the request, a harmless one, ran at an upstream that crashed.
@@ -58,14 +58,14 @@
 	u.running[a] = true
 	incarnation := u.incarnation
 	work := time.Duration(w.rng.ExpFloat64() * float64(meanRunTime))
-	if r.fatal {
-		work = 1 + w.drawBelow(maxFatalRunTime)
+	if r.crashing {
+		work = 1 + w.drawBelow(maxCrashingRunTime)
 	}
 	w.after(work, func() {
 		if u.incarnation != incarnation || !u.running[a] {
 			return // the upstream crashed while the request ran
 		}
-		if r.fatal {
+		if r.crashing {
 			w.crashTimes[r.body] = append(w.crashTimes[r.body], w.Now())
 			w.crashUpstream(u)
 			return
@@ -107,7 +107,7 @@
 	u.downUntil = w.Now() + restartTime
 	u.running = map[*attempt]bool{}
 	for _, a := range sortAttempts(lost) {
-		if !a.request.fatal && !a.request.besideCrash {
+		if !a.request.crashing && !a.request.besideCrash {
 			a.request.besideCrash = true
 			w.result.BesideCrash++
 		}
@@ -132,7 +132,7 @@
 	w.after(wait, func() {
 		record := crash.Judge()
 		w.sendRecords(a.instance)
-		if record.IsCondemned() && !a.request.fatal {
+		if record.IsCondemned() && !a.request.crashing {
 			w.condemnedHarmless[record.Fingerprint] = true
 		}
 		w.attemptFailed(a)
@@ -162,7 +162,7 @@
 		w.after(minRetryPause+w.drawBelow(minRetryPause), func() { w.send(r) })
 		return
 	}
-	if !r.fatal {
+	if !r.crashing {
 		w.result.Failed++
 	}
 }
--- a/pkg/experiment/blame/scenario.go
+++ b/pkg/experiment/blame/scenario.go
@@ -27,18 +27,18 @@
 
 // Scenarios are the scenarios that the policies are compared in.
 var Scenarios = []Scenario{
-	{Name: "one fatal body, 0.2 a second", FatalBodies: 1, FatalPerSecond: 0.2},
-	{Name: "one, 5 a second", FatalBodies: 1, FatalPerSecond: 5},
-	{Name: "one, 50 a second", FatalBodies: 1, FatalPerSecond: 50},
-	{Name: "five, 5 a second each", FatalBodies: 5, FatalPerSecond: 5},
+	{Name: "one fatal body, 0.2 a second", CrashingBodies: 1, CrashingPerSecond: 0.2},
+	{Name: "one, 5 a second", CrashingBodies: 1, CrashingPerSecond: 5},
+	{Name: "one, 50 a second", CrashingBodies: 1, CrashingPerSecond: 50},
+	{Name: "five, 5 a second each", CrashingBodies: 5, CrashingPerSecond: 5},
 	{Name: "a domain at once, three times", OtherCrashes: crashDomains},
 	{Name: "half at once, each 2.5 s", OtherCrashes: crashHalves},
 	{Name: "a release, one each second", OtherCrashes: crashInTurn(time.Second)},
 	{Name: "a tenth each ten seconds, one by one", OtherCrashes: crashTenths},
-	{Name: "two fatal ones in a release", FatalBodies: 2, FatalPerSecond: 5, OtherCrashes: crashInTurn(time.Second)},
+	{Name: "two fatal ones in a release", CrashingBodies: 2, CrashingPerSecond: 5, OtherCrashes: crashInTurn(time.Second)},
 }
 
-// firstCrashAt is when the first crash for another reason than a fatal request happens.
+// firstCrashAt is when the first crash happens that no crashing request causes.
 const firstCrashAt = 5 * time.Second
 
 // crashDomains crashes a quarter of the upstreams at once, three times.
--- a/pkg/experiment/blame/table.go
+++ b/pkg/experiment/blame/table.go
@@ -11,7 +11,7 @@
 // cell sums up the runs of one policy in one scenario at one size, over all seeds.
 type cell struct {
 	sum Result
-	// crashes holds, for each seed, the number of crashes of the fatal request that caused most.
+	// crashes holds, for each seed, the number of crashes of the crashing request that caused most.
 	crashes []int
 }
 
--- a/pkg/experiment/blame/world.go
+++ b/pkg/experiment/blame/world.go
@@ -1,6 +1,6 @@
 // Package blame simulates, in virtual time, fleets whose upstreams crash, and compares policies of
-// the quarantine on the same random histories: how many upstreams one fatal request crashes, and
-// how many harmless requests are condemned by mistake.
+// the quarantine on the same random histories: how many upstreams a crashing request (one that
+// crashes the upstream which runs it) brings down, and how many harmless requests are condemned by mistake.
 package blame
 
 import (
@@ -31,8 +31,8 @@
 	minRetryPause = 100 * time.Millisecond
 	// maxAttempts is the number of upstreams that an instance tries for a request of a client.
 	maxAttempts = 2
-	// maxFatalRunTime bounds how long a fatal request runs before its upstream crashes.
-	maxFatalRunTime = 150 * time.Millisecond
+	// maxCrashingRunTime bounds how long a crashing request runs before its upstream crashes.
+	maxCrashingRunTime = 150 * time.Millisecond
 	// restartTime is how long a crashed upstream is down.
 	restartTime = 2 * time.Second
 	// messageLossPercent is the share of messages that are lost. Instances find lost records by
@@ -50,10 +50,10 @@
 // Scenario describes the causes of crashes in a history.
 type Scenario struct {
 	Name string
-	// FatalBodies is the number of bodies that crash the upstream which runs them. Each is sent
-	// FatalPerSecond times a second.
-	FatalBodies    int
-	FatalPerSecond float64
+	// CrashingBodies is the number of bodies that crash the upstream which runs them. Each is sent
+	// CrashingPerSecond times a second.
+	CrashingBodies    int
+	CrashingPerSecond float64
 	// OtherCrashes schedules crashes of upstreams for other reasons; nil for none.
 	OtherCrashes func(w *simulation)
 }
@@ -69,8 +69,8 @@
 	// BesideCrash is the number of harmless requests that ran at an upstream that crashed;
 	// Condemned is the number of distinct fingerprints condemned among them.
 	BesideCrash, Condemned int
-	// MaxCrashes is the number of crashes under the fatal body that caused most. LateCrashes is the
-	// number of crashes, under all fatal bodies, more than a second after the third of their body.
+	// MaxCrashes is the number of crashes under the crashing body that caused most. LateCrashes is the
+	// number of crashes, under all crashing bodies, more than a second after the third of their body.
 	MaxCrashes, LateCrashes int
 }
 
@@ -120,8 +120,8 @@
 		w.upstreams = append(w.upstreams, &upstream{name: fmt.Sprint("u", n), running: map[*attempt]bool{}})
 	}
 	w.sendHarmless(time.Second / time.Duration(harmlessPerSecond*size.Upstreams))
-	for n := range scenario.FatalBodies {
-		w.sendFatal(fmt.Sprint("fatal-", n), time.Duration(float64(time.Second)/scenario.FatalPerSecond))
+	for n := range scenario.CrashingBodies {
+		w.sendCrashing(fmt.Sprint("fatal-", n), time.Duration(float64(time.Second)/scenario.CrashingPerSecond))
 	}
 	if scenario.OtherCrashes != nil {
 		scenario.OtherCrashes(w)
@@ -157,14 +157,14 @@
 	w.after(time.Duration(w.rng.ExpFloat64()*float64(between)), func() { w.sendHarmless(between) })
 }
 
-// sendFatal sends a request with a fatal body and schedules the next one; between is the mean time
-// between two.
-func (w *simulation) sendFatal(body string, between time.Duration) {
+// sendCrashing sends a request with a crashing body and schedules the next one; between is the mean
+// time between two.
+func (w *simulation) sendCrashing(body string, between time.Duration) {
 	if w.Now() > historyDuration {
 		return
 	}
-	w.send(&request{body: body, fatal: true, triesLeft: 1})
-	w.after(between/2+w.drawBelow(between), func() { w.sendFatal(body, between) })
+	w.send(&request{body: body, crashing: true, triesLeft: 1})
+	w.after(between/2+w.drawBelow(between), func() { w.sendCrashing(body, between) })
 }
 
 // sendRecords sends the pending records of an instance to the others.
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -40,13 +40,13 @@
 	Slots int
 	// TokenMillis is the time for one token, in milliseconds. Default 10.
 	TokenMillis int
-	// FatalText ends the whole process when the body of a request contains it, as a fault of the
+	// CrashMarker ends the whole process when the body of a request contains it, as a fault of the
 	// engine would. Empty for none.
-	FatalText string
+	CrashMarker string
 }
 
-// fatalExitCode is the exit code of the process after a fatal request.
-const fatalExitCode = 3
+// crashExitCode is the exit code of the process after a crashing request.
+const crashExitCode = 3
 
 // Faults are the faults that the engine simulates.
 type Faults struct {
@@ -171,8 +171,8 @@
 
 // handleCompletion starts or resumes a generation and returns its answer.
 func (s *Server) handleCompletion(ctx context.Context, c *app.RequestContext) {
-	if s.cfg.FatalText != "" && strings.Contains(string(c.Request.Body()), s.cfg.FatalText) {
-		os.Exit(fatalExitCode)
+	if s.cfg.CrashMarker != "" && strings.Contains(string(c.Request.Body()), s.cfg.CrashMarker) {
+		os.Exit(crashExitCode)
 	}
 	var req chat.Request
 	if err := json.Unmarshal(c.Request.Body(), &req); err != nil {
--- a/pkg/standin/plain/plain.go
+++ b/pkg/standin/plain/plain.go
@@ -42,8 +42,8 @@
 
 // Server is a running stand-in service.
 type Server struct {
-	http      *httpserve.Server
-	fatalText string
+	http        *httpserve.Server
+	crashMarker string
 	// incarnation identifies this process in the header of every answer.
 	incarnation string
 
@@ -52,17 +52,17 @@
 	faults Faults
 }
 
-// fatalExitCode is the exit code of the process after a fatal request.
-const fatalExitCode = 3
+// crashExitCode is the exit code of the process after a crashing request.
+const crashExitCode = 3
 
-// Start serves on an address. A request whose body contains fatalText ends the whole process, as a
-// fault of the service would; an empty fatalText ends none.
-func Start(address, fatalText string) (*Server, error) {
+// Start serves on an address. A request whose body contains crashMarker ends the whole process, as a
+// fault of the service would; an empty crashMarker ends none.
+func Start(address, crashMarker string) (*Server, error) {
 	http, err := httpserve.Listen(httpserve.Options{Address: address, MaxBodyBytes: maxBodyBytes})
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{http: http, fatalText: fatalText, incarnation: ulid.Make().String()}
+	s := &Server{http: http, crashMarker: crashMarker, incarnation: ulid.Make().String()}
 	http.Use(s.setIncarnationHeader)
 	http.OPTIONS("/*path", func(context.Context, *app.RequestContext) {})
 	http.POST("/_faults", httpserve.Take(s.SetFaults))
@@ -103,8 +103,8 @@
 		Path:   string(c.Path()),
 		Body:   string(c.Request.Body()),
 	}
-	if s.fatalText != "" && strings.Contains(run.Body, s.fatalText) {
-		os.Exit(fatalExitCode)
+	if s.crashMarker != "" && strings.Contains(run.Body, s.crashMarker) {
+		os.Exit(crashExitCode)
 	}
 	s.mu.Lock()
 	s.runs = append(s.runs, run)
