--- a/pkg/experiment/blame/world.go
+++ b/pkg/experiment/blame/world.go
@@ -1,6 +1,7 @@
 // Package blame simulates, in virtual time, fleets whose upstreams crash, and compares policies of
 // the quarantine on the same random histories: how many upstreams a crashing request (one that
-// crashes the upstream which runs it) brings down, and how many harmless requests are condemned by mistake.
+// crashes the upstream which runs it) brings down, and how many harmless requests are condemned by
+// mistake.
 package blame
 
 import (
