--- a/scripts/safeguards.sh
+++ b/scripts/safeguards.sh
@@ -51,11 +51,11 @@
 try answer-id pkg/upstream/stream.go 's/s\.resp\.Header\.Get\(chat\.HeaderRequestID\) != s\.id/false/; s/out\.Response\.ID != s\.id/false/' test TestCrossedAnswerNeverReachesTheCaller
 try drain-waits pkg/entry/entry.go 's/\t\te\.running\.Wait\(\)\n//' test TestPlannedStopCutsNothing
 try replaced-drawer-declines pkg/prepaid/drawer.go 's/if req\.Drawer != n\.Self \{/if false {/' pkg/prepaid TestReplacedDrawerDeclines
-try exhausted-only-if-too-few pkg/prepaid/write.go 's/\(writes > 0 && p\.exceedsLedger\(need\)\)/writes > 0/; s/max\(target-p\.free, p\.waiting\)/target*0/; s/max\(p\.waiting-p\.free, 0\)/0/' pkg/prepaid TestTokensTakenByOthersAreNotExhaustion
+try exhausted-only-if-too-few pkg/prepaid/write.go 's/\(writes > 0 && b\.exceedsLedger\(need\)\)/writes > 0/; s/max\(target-b\.free, b\.waiting\)/target*0/; s/max\(b\.waiting-b\.free, 0\)/0/' pkg/prepaid TestTokensTakenByOthersAreNotExhaustion
 try strangers-try-little pkg/prepaid/write.go 's/if !n\.Fleet\.Joined\(\) \{/if false {/' pkg/prepaid TestFleetThatStartsUnderLoadLeavesTheStoreAlone
 try unknown-totals-given-up pkg/prepaid/drawer.go 's/&requesterBudget\{returned: d\.Returned\}/&requesterBudget{}/' pkg/prepaid TestForgottenTotalsAreGivenUp
 try never-written-is-not-forgotten pkg/prepaid/shard.go 's/ && s\.Forgotten > since//' pkg/prepaid TestStoppingAskersLoseNothing
-try declined-is-free-again pkg/prepaid/refill.go 's/n\.position\(id\)\.free \+= d\.returned\[id\] - d\.confirmed\[id\]//' pkg/prepaid TestDeclinedReportsLoseNothing
+try declined-is-free-again pkg/prepaid/refill.go 's/n\.balance\(id\)\.free \+= d\.returned\[id\] - d\.confirmed\[id\]//' pkg/prepaid TestDeclinedReportsLoseNothing
 try doubtful-stays-returned pkg/prepaid/refill.go 's/d\.confirmed\[id\] = sent\.Returned \/\//\/\//' pkg/prepaid TestDoubtfulReturnIsNotFreeAgain
 try resting-ends-with-the-outage pkg/prepaid/refill.go 's/d\.backoff, d\.avoidedUntil = 0, time\.Time\{\}/_ = d/' pkg/prepaid TestDrawersAreAskedAgainOnceTheStoreIsBack
 try a-third-is-held pkg/prepaid/tick.go 's/holdDivisor = 3/holdDivisor = 5/' pkg/prepaid TestAccountThatLastsOutlastsACut
@@ -91,7 +91,7 @@
 try all-are-waited-for pkg/prepaid/recovery.go 's/if waited && n\.allReported\(s\.Reported\) \{/if waited {/' pkg/prepaid TestNeverMoreThanPrepaidWhenTheStoreGoesBack
 try told-is-for-one-era pkg/prepaid/recovery.go 's/r\.reported, r\.numMergedReports = nil, 0/r.numMergedReports = 0/' pkg/prepaid TestWhoToldForAnEarlierEraTellsAgain
 try older-draws-are-not-taken-over pkg/prepaid/write.go 's/if max\(after\.Era, firstEra\) < n\.minEra \{/if false {/' pkg/prepaid TestDrawOfAnEraThatIsOverIsNotTakenOver
-try dealt-tokens-tell-their-draw pkg/prepaid/drawer.go 's/Drawn: p\.counter\.Drawn\}/Drawn: 0}/' pkg/prepaid TestAskersKnowTheDrawOfWhatTheyWereDealt
+try dealt-tokens-tell-their-draw pkg/prepaid/drawer.go 's/Drawn: balance\.counter\.Drawn\}/Drawn: 0}/' pkg/prepaid TestAskersKnowTheDrawOfWhatTheyWereDealt
 try draws-are-witnessed pkg/prepaid/write.go 's/witnessErr := n\.ensureWitnessed\(ctx, shard, after\)/var witnessErr error/' pkg/prepaid TestDrawOfAWriterThatDiesAtOnceIsNotSpentTwice
 try witnessed-draws-are-told pkg/prepaid/recovery.go 's/append\(n\.witnessedRows\(shard\), stored/append([]seenRow(nil), stored/' pkg/prepaid TestDrawOfAWriterThatDiesAtOnceIsNotSpentTwice
 try told-of-an-era-that-is-over pkg/prepaid/witness.go 's/max\(req\.Era, firstEra\) < n\.minEra \|\| //' pkg/prepaid TestDrawIsNotWitnessedOnceItsEraHasBeenTold
@@ -123,7 +123,7 @@
 try verdicts-are-stored-again pkg/router/era.go 's/\tr\.quarantine\.StoreAgain\(\)\n//' test TestCondemnedRequestStaysSoAfterALossOfAll
 try verdicts-are-recovered pkg/router/background.go 's/\tr\.runInBackground\(r\.recoverVerdicts\)\n//' test TestCondemnedRequestStaysSoAfterALossOfAll
 try starts-wait-for-the-quarantine pkg/router/background.go 's/return r\.awaitQuarantine\(ctx\)/return true/; s/\tr\.runInBackground\(r\.quarantine\.Spread\)\n//; s/\tr\.runInBackground\(r\.recoverVerdicts\)\n//' test TestStartingInstanceKnowsWhatIsCondemned
-try endings-are-undecided $q/conclude.go 's/suspected := r\.Broke\(attempt\.Origin, attempt\.Upstream, at\)/suspected := false/' test TestCrashIsKnownByTheNextIncarnation
+try endings-are-undecided $q/conclude.go 's/suspected := r\.NoteConnectionEnd\(attempt\.Origin, attempt\.Upstream, at\)/suspected := false/' test TestCrashIsKnownByTheNextIncarnation
 try undecided-endings-hold-back $q/table.go 's/return undecided > 0 && .*/return false \&\& undecided+crashes > 0/' $q TestUndecidedEndingsHoldARequestBack
 try same-process-refutes $q/undecided.go 's/key\.Incarnation != incarnation$/true/m' $q TestEndingIsRefutedByTheSameIncarnation
 try process-crashes-once $q/ending.go 's/ \|\| \(other\.Address == key\.Address && other\.Incarnation == key\.Incarnation\)//' $q TestProcessCrashesOnce
