--- a/pkg/budget/lot.go
+++ b/pkg/budget/lot.go
@@ -26,8 +26,8 @@
 // finished reports whether the lot has no tokens left to spend, settle or report.
 func (l *lot) finished() bool { return l.free() == 0 && l.reserved == 0 && !l.unreported() }
 
-// position is what a spender holds of one budget.
-type position struct {
+// balance is what a spender holds of one budget.
+type balance struct {
 	lots       []*lot
 	seq        uint64
 	demand     int64   // tokens reserved since the last tick
@@ -38,30 +38,30 @@
 	lastDenial *ShortError // result of the last search that found too few tokens
 }
 
-func (p *position) free() int64 {
+func (b *balance) free() int64 {
 	var free int64
-	for _, l := range p.lots {
+	for _, l := range b.lots {
 		free += l.free()
 	}
 	return free
 }
 
-func (p *position) reserve(tokens int64, into *Reservation) bool {
-	for _, l := range p.lots {
+func (b *balance) reserve(tokens int64, into *Reservation) bool {
+	for _, l := range b.lots {
 		if l.free() >= tokens {
 			into.add(l, tokens)
 			return true
 		}
 	}
-	return p.reserveFromSeveral(tokens, into)
+	return b.reserveFromSeveral(tokens, into)
 }
 
-func (p *position) reserveFromSeveral(tokens int64, into *Reservation) bool {
-	if p.free() < tokens {
+func (b *balance) reserveFromSeveral(tokens int64, into *Reservation) bool {
+	if b.free() < tokens {
 		return false
 	}
 	missing := tokens
-	for _, l := range p.lots {
+	for _, l := range b.lots {
 		if l.free() <= 0 || into.numParts == maxParts {
 			continue
 		}
@@ -76,8 +76,8 @@
 	return true
 }
 
-func (p *position) merge(received *budgetpb.Lot) {
-	for _, l := range p.lots {
+func (b *balance) merge(received *budgetpb.Lot) {
+	for _, l := range b.lots {
 		if l.grant == received.Grant {
 			l.allocated = max(l.allocated, received.Allocated)
 			l.witness = received.Witness
@@ -87,7 +87,7 @@
 	if received.Allocated == 0 {
 		return
 	}
-	p.lots = append(p.lots, &lot{
+	b.lots = append(b.lots, &lot{
 		grant:     received.Grant,
 		holder:    received.Holder,
 		witness:   received.Witness,
@@ -98,9 +98,9 @@
 // returnSurplus returns free tokens beyond keep. A token is counted as returned
 // before the report is sent: if the report is lost, the token is unavailable to
 // every instance for a while, but never available to two.
-func (p *position) returnSurplus(keep int64) {
-	surplus := p.free() - keep
-	for _, l := range p.lots {
+func (b *balance) returnSurplus(keep int64) {
+	surplus := b.free() - keep
+	for _, l := range b.lots {
 		share := min(surplus, l.free())
 		if share > 0 {
 			l.returned += share
@@ -112,27 +112,27 @@
 // idleTicksBeforeReturn is the number of ticks for which an unused lot is kept.
 const idleTicksBeforeReturn = 15
 
-func (p *position) smoothDemand(interval time.Duration) {
-	perSecond := float64(p.demand) / interval.Seconds()
-	p.demandRate += demandSmoothingFactor * (perSecond - p.demandRate)
-	p.idleTicks++
-	if p.demand > 0 {
-		p.idleTicks = 0
+func (b *balance) smoothDemand(interval time.Duration) {
+	perSecond := float64(b.demand) / interval.Seconds()
+	b.demandRate += demandSmoothingFactor * (perSecond - b.demandRate)
+	b.idleTicks++
+	if b.demand > 0 {
+		b.idleTicks = 0
 	}
-	p.demand = 0
+	b.demand = 0
 }
 
 // inactive reports whether ticks have nothing to do until the budget is used
 // again.
-func (p *position) inactive() bool {
-	if p.idleTicks < idleTicksBeforeReturn {
+func (b *balance) inactive() bool {
+	if b.idleTicks < idleTicksBeforeReturn {
 		return false
 	}
-	for _, l := range p.lots {
+	for _, l := range b.lots {
 		if !l.finished() {
 			return false
 		}
 	}
-	p.demandRate = 0
+	b.demandRate = 0
 	return true
 }
--- a/pkg/budget/node.go
+++ b/pkg/budget/node.go
@@ -115,15 +115,15 @@
 	return nil
 }
 
-// lockSearch locks the budget's search mutex and returns the position. Only one
+// lockSearch locks the budget's search mutex and returns the balance. Only one
 // search runs for a budget at a time, because the tokens that it finds may also
 // suffice for the reservations that wait for it.
-func (s *Spender) lockSearch(budget string) *position {
+func (s *Spender) lockSearch(budget string) *balance {
 	s.mu.Lock()
-	p := s.position(budget)
+	b := s.balance(budget)
 	s.mu.Unlock()
-	p.searchMu.Lock()
-	return p
+	b.searchMu.Lock()
+	return b
 }
 
 func (n *Node) searchHolders(ctx context.Context, budget string, tokens int64, into *Reservation) *ShortError {
--- a/pkg/budget/spender.go
+++ b/pkg/budget/spender.go
@@ -12,9 +12,9 @@
 type Spender struct {
 	self string
 
-	mu        sync.Mutex
-	positions map[string]*position
-	active    map[string]*position
+	mu       sync.Mutex
+	balances map[string]*balance
+	active   map[string]*balance
 	// settled holds the ids of grants whose lots were dropped. A holder that was
 	// considered dead may resume and send such a lot again, although its tokens
 	// are spent. Without this set the lot would look new and be spent twice.
@@ -25,10 +25,10 @@
 // NewSpender returns a spender without tokens.
 func NewSpender(self string) *Spender {
 	return &Spender{
-		self:      self,
-		positions: map[string]*position{},
-		active:    map[string]*position{},
-		settled:   map[string]bool{},
+		self:     self,
+		balances: map[string]*balance{},
+		active:   map[string]*balance{},
+		settled:  map[string]bool{},
 	}
 }
 
@@ -37,16 +37,16 @@
 func (s *Spender) TryReserve(budget string, tokens int64, into *Reservation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.positions[budget]
-	if p == nil || s.stopping {
+	b := s.balances[budget]
+	if b == nil || s.stopping {
 		return false
 	}
 	*into = Reservation{budget: budget}
-	if !p.reserve(tokens, into) {
+	if !b.reserve(tokens, into) {
 		return false
 	}
-	p.demand += tokens
-	s.active[budget] = p
+	b.demand += tokens
+	s.active[budget] = b
 	return true
 }
 
@@ -69,8 +69,8 @@
 		p.lot.used += share
 		remaining -= share
 	}
-	if position := s.positions[r.budget]; position != nil {
-		s.active[r.budget] = position
+	if balance := s.balances[r.budget]; balance != nil {
+		s.active[r.budget] = balance
 	}
 	return used - remaining
 }
@@ -80,22 +80,22 @@
 func (s *Spender) Merge(budget string, lots []*budgetpb.Lot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.position(budget)
+	b := s.balance(budget)
 	for _, received := range lots {
 		if !s.settled[received.Grant] {
-			p.merge(received)
+			b.merge(received)
 		}
 	}
-	s.active[budget] = p
+	s.active[budget] = b
 }
 
-func (s *Spender) position(budget string) *position {
-	p := s.positions[budget]
-	if p == nil {
-		p = &position{}
-		s.positions[budget] = p
+func (s *Spender) balance(budget string) *balance {
+	b := s.balances[budget]
+	if b == nil {
+		b = &balance{}
+		s.balances[budget] = b
 	}
-	return p
+	return b
 }
 
 // shortfall is what a spender requests from a holder.
@@ -110,13 +110,13 @@
 func (s *Spender) shortfallFor(budget string, tokens int64, ahead time.Duration) shortfall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.position(budget)
-	p.seq++
-	free := p.free()
+	b := s.balance(budget)
+	b.seq++
+	free := b.free()
 	return shortfall{
-		seq:   p.seq,
+		seq:   b.seq,
 		need:  max(tokens-free, 0),
-		ahead: int64(p.demandRate * ahead.Seconds()),
+		ahead: int64(b.demandRate * ahead.Seconds()),
 		found: free,
 	}
 }
@@ -126,14 +126,14 @@
 func (s *Spender) recall(budget string) []*budgetpb.Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.positions[budget]
-	if p == nil {
+	b := s.balances[budget]
+	if b == nil {
 		return nil
 	}
-	p.returnSurplus(0)
-	s.active[budget] = p
-	usages := make([]*budgetpb.Usage, 0, len(p.lots))
-	for _, l := range p.lots {
+	b.returnSurplus(0)
+	s.active[budget] = b
+	usages := make([]*budgetpb.Usage, 0, len(b.lots))
+	for _, l := range b.lots {
 		usages = append(usages, s.usage(budget, l))
 	}
 	return usages
@@ -178,8 +178,8 @@
 	return out
 }
 
-func (s *Spender) appendUnreported(budget string, p *position, out reports) {
-	for _, l := range p.lots {
+func (s *Spender) appendUnreported(budget string, b *balance, out reports) {
+	for _, l := range b.lots {
 		if l.unreported() {
 			target := reportTarget{holder: l.holder, witness: l.witness}
 			out[target] = append(out[target], s.usage(budget, l))
@@ -208,11 +208,11 @@
 }
 
 func (s *Spender) findLot(budget, grant string) *lot {
-	p := s.positions[budget]
-	if p == nil {
+	b := s.balances[budget]
+	if b == nil {
 		return nil
 	}
-	for _, l := range p.lots {
+	for _, l := range b.lots {
 		if l.grant == grant {
 			return l
 		}
@@ -223,11 +223,11 @@
 // dropLot removes a lot whose grant is settled in the ledger. A grant is settled
 // only once every token is accounted for, so the lot has no free tokens left.
 func (s *Spender) dropLot(budget, grant string) {
-	p := s.positions[budget]
-	for i, l := range p.lots {
+	b := s.balances[budget]
+	for i, l := range b.lots {
 		if l.grant == grant && l.reserved == 0 {
 			s.settled[grant] = true
-			p.lots = append(p.lots[:i], p.lots[i+1:]...)
+			b.lots = append(b.lots[:i], b.lots[i+1:]...)
 			return
 		}
 	}
@@ -239,8 +239,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var usages []*budgetpb.Usage
-	for _, budget := range sortedKeys(s.positions) {
-		for _, l := range s.positions[budget].lots {
+	for _, budget := range sortedKeys(s.balances) {
+		for _, l := range s.balances[budget].lots {
 			if l.holder == holder {
 				usages = append(usages, s.usage(budget, l))
 			}
@@ -255,8 +255,8 @@
 	defer s.mu.Unlock()
 	seen := map[string]bool{}
 	var out []string
-	for _, budget := range sortedKeys(s.positions) {
-		for _, l := range s.positions[budget].lots {
+	for _, budget := range sortedKeys(s.balances) {
+		for _, l := range s.balances[budget].lots {
 			if !seen[l.holder] {
 				seen[l.holder] = true
 				out = append(out, l.holder)
@@ -272,8 +272,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopping = true
-	for budget, p := range s.positions {
-		s.active[budget] = p
+	for budget, b := range s.balances {
+		s.active[budget] = b
 	}
 }
 
@@ -281,8 +281,8 @@
 func (s *Spender) Free(budget string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p := s.positions[budget]; p != nil {
-		return p.free()
+	if b := s.balances[budget]; b != nil {
+		return b.free()
 	}
 	return 0
 }
@@ -293,8 +293,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var reserved int64
-	for _, p := range s.positions {
-		for _, l := range p.lots {
+	for _, b := range s.balances {
+		for _, l := range b.lots {
 			reserved += l.reserved
 		}
 	}
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -25,7 +25,7 @@
 	checkClaims(t, 60, false)
 }
 
-// Guards against a request that runs twice: its key was claimed, the store was restored from a copy
+// Guards against a request that runs twice: its key was claimed, the store was rolled back to a copy
 // that is older than the claim, and a retry claimed the key again. The instance that claimed the key
 // must restore the claim, and a key that the store lacks must be free only once all live instances
 // have restored theirs.
@@ -98,7 +98,7 @@
 		if restores && rng.IntN(8) == 0 {
 			store.RollBack(1 + rng.IntN(6))
 			for _, c := range claimers {
-				c.NoteStoreRestored()
+				c.NoteStoreRollback()
 			}
 		}
 		if failure := send(); failure != "" {
--- a/pkg/claim/claimer.go
+++ b/pkg/claim/claimer.go
@@ -192,7 +192,7 @@
 type acquireResult struct {
 	claim    Claim
 	acquired bool
-	// unsettled is set if the key may have been claimed before the store was restored.
+	// unsettled is set if the key may have been claimed before the store was rolled back.
 	unsettled bool
 }
 
--- a/pkg/claim/recovery.go
+++ b/pkg/claim/recovery.go
@@ -8,18 +8,18 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// The store may be restored from a copy of itself that is some seconds old. The claims of these
+// The store may be rolled back to a copy of itself that is some seconds old. The claims of these
 // seconds are missing in the copy, and a retry would claim its key again and run a second time. Each
 // instance therefore restores its recent claims. Until all live instances have done so the shard is
 // *unsettled*: a key that it lacks is neither free nor claimed.
 
-// ErrUnsettled means that it is not known whether a key was claimed before the store was restored.
-var ErrUnsettled = errors.New("claim: not all instances have reported their claims since the store was restored")
+// ErrUnsettled means that it is not known whether a key was claimed before the store was rolled back.
+var ErrUnsettled = errors.New("claim: not all instances have reported their claims since the store was rolled back")
 
 // Timing of the restoring of claims.
 const (
 	// recentClaimLifetime is how long after its last write a claim is remembered, to be restored: the
-	// copy from which the store is restored is some seconds old.
+	// copy to which the store is rolled back is some seconds old.
 	recentClaimLifetime = time.Minute
 	// maxReportDelay bounds the random delay before an instance writes its claims to a shard, so
 	// that the writes do not all start at once.
@@ -80,9 +80,9 @@
 	return claims
 }
 
-// NoteStoreRestored is called when the store was restored from an older copy: this instance writes its
+// NoteStoreRollback is called when the store was rolled back to an older copy: this instance writes its
 // recent claims to every shard.
-func (c *Claimer) NoteStoreRestored() {
+func (c *Claimer) NoteStoreRollback() {
 	for _, queue := range c.queues {
 		go func() {
 			time.Sleep(rand.N(maxReportDelay))
--- a/pkg/follow/contents.go
+++ b/pkg/follow/contents.go
@@ -33,7 +33,7 @@
 }
 
 // replace applies a whole list. Content that its writer numbered higher than the list's content is
-// retained, also if the list lacks the object: a store restored from a copy lists content that had
+// retained, also if the list lacks the object: a store rolled back to a copy lists content that had
 // been overwritten before, and starting instances get their copy from here.
 func (c *contents) replace(list store.Listing) {
 	c.mu.Lock()
--- a/pkg/follow/era_test.go
+++ b/pkg/follow/era_test.go
@@ -10,8 +10,8 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// restoreFromCopy simulates a store restored from a copy made at a version, under the next era.
-func (s *lossyStore) restoreFromCopy(version store.Version) {
+// rollBack simulates a rollback of the store to a copy made at a version, under the next era.
+func (s *lossyStore) rollBack(version store.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision = store.Position{Era: s.revision.Era + 1, Version: version}
@@ -19,7 +19,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Guards against copies that ignore changes after the store was restored from a copy, because the
+// Guards against copies that ignore changes after the store was rolled back to a copy, because the
 // new versions are lower than theirs: a dropped route is served, and an upstream that leaves gets
 // requests, long after the change. Every instance, also one that does not call the store, must
 // reach the later era within a second and have changes written there within half of the bound,
@@ -55,7 +55,7 @@
 					fleet.store.loseAnswers(c.silent > 0)
 					time.Sleep(c.silent)
 					fleet.store.loseAnswers(false)
-					fleet.store.restoreFromCopy(5)
+					fleet.store.rollBack(5)
 					time.Sleep(c.within)
 					notInEra := fleet.numNotInEra(fleet.store.era())
 					fleet.store.change()
@@ -87,7 +87,7 @@
 }
 
 // Guards against dropped routes that are served again: an instance starts after the store was
-// restored from a copy, and before operators have written the lost changes again. Another instance
+// rolled back to a copy, and before operators have written the lost changes again. Another instance
 // must serve it the document in force, not the older one in the store.
 func TestDocumentOfAHigherNumberIsHandedOn(t *testing.T) {
 	number := func(value []byte) uint64 {
@@ -111,7 +111,7 @@
 	c.replace(older)
 	c.replace(older)
 	if value("a") != "7" || value("b") != "3" {
-		t.Errorf("after the store was restored: a %s, want 7; b %s, want 3", value("a"), value("b"))
+		t.Errorf("after the store was rolled back: a %s, want 7; b %s, want 3", value("a"), value("b"))
 	}
 	apply := func(value string, version store.Version) {
 		position := store.Position{Era: 2, Version: version}
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -15,7 +15,7 @@
 //
 // All updates are ordered by position: whatever their source, a copy only moves to a later
 // position, and changes are applied only to a copy that has all changes before them. When the store
-// is restored from a copy of itself, the copy here moves to the later era, whose versions are
+// is rolled back to a copy of itself, the copy here moves to the later era, whose versions are
 // lower, by reading a whole list.
 package follow
 
--- a/pkg/instance/era.go
+++ b/pkg/instance/era.go
@@ -20,7 +20,7 @@
 		return // the first era that this process has seen
 	}
 	i.log.Event(eventlog.StoreWentBack, "", eventlog.Fields{"from": update.From, "era": update.To})
-	i.claims.NoteStoreRestored()
+	i.claims.NoteStoreRollback()
 	i.quarantine.StoreAgain()
 }
 
--- a/pkg/meeting/meeting.go
+++ b/pkg/meeting/meeting.go
@@ -115,9 +115,9 @@
 // store.
 func (m *Discovery) IsRegistrar() bool { return m.Table.RankInRegion(registrarKey) < numRegistrars }
 
-// NoteStoreRestored records that the store was restored from an older copy and may have lost this
+// NoteStoreRollback records that the store was rolled back to an older copy and may have lost this
 // instance's entry.
-func (m *Discovery) NoteStoreRestored() { m.registered.Store(false) }
+func (m *Discovery) NoteStoreRollback() { m.registered.Store(false) }
 
 // Run announces this instance and discovers others until ctx ends: through the seeds, and through the
 // store if no seed answers.
--- a/pkg/member/gossip.go
+++ b/pkg/member/gossip.go
@@ -21,8 +21,8 @@
 	// Hash returns a hash that is equal for equal tables; stored reports that the table includes
 	// everything that the store holds.
 	Hash() (hash uint64, stored bool)
-	// Heard records the hash and stored flag that the instance at an address sent.
-	Heard(address string, hash uint64, stored bool)
+	// ReceiveHash records the hash and stored flag that the instance at an address sent.
+	ReceiveHash(address string, hash uint64, stored bool)
 }
 
 // Gossip exchanges digests with other instances and applies what they contain.
@@ -118,7 +118,7 @@
 		g.OnEra(d.Era)
 	}
 	if g.Quarantine != nil && d.From != nil {
-		g.Quarantine.Heard(d.From.PeerAddress, d.QuarantineHash, d.QuarantineStored)
+		g.Quarantine.ReceiveHash(d.From.PeerAddress, d.QuarantineHash, d.QuarantineStored)
 	}
 	if g.OnReadings != nil && d.From != nil && len(d.Readings) > 0 {
 		g.OnReadings(d.From.Name, d.Readings)
--- a/pkg/prepaid/position.go
+++ b/pkg/prepaid/balance.go
@@ -21,13 +21,13 @@
 	surplusDivisor = 4
 )
 
-// position is what one instance holds of one budget. Invariant: free + reserved + spent + lent +
+// balance is what one instance holds of one budget. Invariant: free + reserved + spent + lent +
 // counter.Returned = counter.Drawn + borrowed. Tokens are deducted from free before any message or
 // write that moves them is sent.
-type position struct {
+type balance struct {
 	free     int64
 	reserved int64
-	// counter is the part of the instance's counter in the ledger that the position includes.
+	// counter is the part of the instance's counter in the ledger that the balance includes.
 	// Returned is ahead of the ledger until a write has succeeded.
 	counter Counter
 	// returnedInLedger is the part of counter.Returned that the ledger has recorded.
@@ -73,101 +73,101 @@
 }
 
 // take removes tokens from the free ones if there are enough.
-func (p *position) take(tokens int64) bool {
-	if tokens > p.free {
+func (b *balance) take(tokens int64) bool {
+	if tokens > b.free {
 		return false
 	}
-	p.free -= tokens
+	b.free -= tokens
 	return true
 }
 
 // reserve records that tokens, which were taken before, are set aside for a request.
-func (p *position) reserve(tokens int64) {
-	p.reserved += tokens
-	p.demand += tokens
-	p.largest = max(p.largest, tokens)
-	if p.typicalSize == 0 {
-		p.typicalSize = float64(tokens)
+func (b *balance) reserve(tokens int64) {
+	b.reserved += tokens
+	b.demand += tokens
+	b.largest = max(b.largest, tokens)
+	if b.typicalSize == 0 {
+		b.typicalSize = float64(tokens)
 	}
-	p.typicalSize += sizeSmoothing * (float64(tokens) - p.typicalSize)
+	b.typicalSize += sizeSmoothing * (float64(tokens) - b.typicalSize)
 }
 
-func (p *position) settle(tokens, used int64) {
-	p.reserved -= tokens
-	p.free += tokens - used
-	p.demand -= tokens - used
+func (b *balance) settle(tokens, used int64) {
+	b.reserved -= tokens
+	b.free += tokens - used
+	b.demand -= tokens - used
 }
 
-func (p *position) tick(interval time.Duration) {
-	p.measuredFor += interval
-	if p.measuredFor <= minDemandWindow {
-		p.perSecond += float64(p.demand) / minDemandWindow.Seconds()
+func (b *balance) tick(interval time.Duration) {
+	b.measuredFor += interval
+	if b.measuredFor <= minDemandWindow {
+		b.perSecond += float64(b.demand) / minDemandWindow.Seconds()
 	} else {
-		rate := float64(p.demand) / interval.Seconds()
-		weight := min(interval.Seconds()/min(p.measuredFor, demandWindow).Seconds(), 1)
-		p.perSecond += weight * (rate - p.perSecond)
+		rate := float64(b.demand) / interval.Seconds()
+		weight := min(interval.Seconds()/min(b.measuredFor, demandWindow).Seconds(), 1)
+		b.perSecond += weight * (rate - b.perSecond)
 	}
-	p.perSecond = max(p.perSecond, 0)
-	p.demand = 0
-	p.largest -= p.largest / 32
+	b.perSecond = max(b.perSecond, 0)
+	b.demand = 0
+	b.largest -= b.largest / 32
 }
 
 // target returns how many free tokens the instance wants to hold: its demand for a time, but at
 // least one typical request once there has been demand.
-func (p *position) target(ahead time.Duration) int64 {
-	if p.perSecond < 1 || p.depleted {
+func (b *balance) target(ahead time.Duration) int64 {
+	if b.perSecond < 1 || b.depleted {
 		return 0
 	}
-	return int64(max(p.perSecond*ahead.Seconds(), p.typicalSize))
+	return int64(max(b.perSecond*ahead.Seconds(), b.typicalSize))
 }
 
 // holdTime returns for how much time of demand tokens of the budget are held.
-func (p *position) holdTime(maxHold time.Duration) time.Duration {
-	demand := p.servedPerSecond + p.elsewherePerSecond
+func (b *balance) holdTime(maxHold time.Duration) time.Duration {
+	demand := b.servedPerSecond + b.elsewherePerSecond
 	if demand < 1 {
 		return maxHold
 	}
-	return holdTimeFor(time.Duration(p.knownFree()/demand*float64(time.Second)), maxHold)
+	return holdTimeFor(time.Duration(b.knownFree()/demand*float64(time.Second)), maxHold)
 }
 
 // knownFree returns the unreserved tokens of the budget, in the ledger and at instances, as far as
 // this instance knows.
-func (p *position) knownFree() float64 {
-	return float64(max(p.ledgerFree, 0) + p.heldElsewhere + p.heldByRequesters + p.free)
+func (b *balance) knownFree() float64 {
+	return float64(max(b.ledgerFree, 0) + b.heldElsewhere + b.heldByRequesters + b.free)
 }
 
 // recordLedger records the ledger's view of the budget: what is prepaid and what may be drawn.
-func (p *position) recordLedger(prepaid, left int64, instances int, now time.Time) {
+func (b *balance) recordLedger(prepaid, left int64, instances int, now time.Time) {
 	instances = max(instances, 1)
-	p.ledgerFree, p.ledgerSeenAt = left, now
-	p.prepaid = prepaid
-	p.scarce = left < p.largest*int64(instances)
-	p.depleted = left < p.largest
+	b.ledgerFree, b.ledgerSeenAt = left, now
+	b.prepaid = prepaid
+	b.scarce = left < b.largest*int64(instances)
+	b.depleted = left < b.largest
 }
 
 // noteTopUp clears what is known of a shortage if more is prepaid now.
-func (p *position) noteTopUp(prepaid int64) {
-	if prepaid > p.prepaid {
-		p.scarce, p.depleted, p.ledgerSeenAt = false, false, time.Time{}
+func (b *balance) noteTopUp(prepaid int64) {
+	if prepaid > b.prepaid {
+		b.scarce, b.depleted, b.ledgerSeenAt = false, false, time.Time{}
 	}
 }
 
 // returnTokens takes tokens out of the free ones; the next write returns them.
-func (p *position) returnTokens(tokens int64) {
-	tokens = min(tokens, p.free)
+func (b *balance) returnTokens(tokens int64) {
+	tokens = min(tokens, b.free)
 	if tokens > 0 {
-		p.free -= tokens
-		p.counter.Returned += tokens
+		b.free -= tokens
+		b.counter.Returned += tokens
 	}
 }
 
-// applyCounter updates the position from its counter in the ledger, and returns how many tokens
+// applyCounter updates the balance from its counter in the ledger, and returns how many tokens
 // were drawn and returned since.
-func (p *position) applyCounter(counter Counter) (drawn, returned int64) {
-	drawn = max(counter.Drawn-p.counter.Drawn, 0)
-	p.counter.Drawn += drawn
-	p.free += drawn
-	returned = max(counter.Returned-p.returnedInLedger, 0)
-	p.returnedInLedger += returned
+func (b *balance) applyCounter(counter Counter) (drawn, returned int64) {
+	drawn = max(counter.Drawn-b.counter.Drawn, 0)
+	b.counter.Drawn += drawn
+	b.free += drawn
+	returned = max(counter.Returned-b.returnedInLedger, 0)
+	b.returnedInLedger += returned
 	return drawn, returned
 }
--- a/pkg/prepaid/drawer.go
+++ b/pkg/prepaid/drawer.go
@@ -187,38 +187,38 @@
 	}
 	if back := d.Returned - b.returned; back > 0 {
 		b.returned = d.Returned
-		n.position(d.Budget).free += back
+		n.balance(d.Budget).free += back
 	}
 	b.perSecond, b.free = d.PerSecond, d.Free
-	p := n.position(d.Budget)
-	p.largest = max(p.largest, d.Need+d.Free)
+	balance := n.balance(d.Budget)
+	balance.largest = max(balance.largest, d.Need+d.Free)
 }
 
 // supply deals out tokens of one budget to a requester; n.mu is held.
 func (n *Node) supply(r *requester, d *prepaidpb.Demand, shard int) *prepaidpb.Supply {
 	b := r.budgets[d.Budget]
-	p := n.position(d.Budget)
-	keepTarget := n.keepTargetFor(p, d, shard)
+	balance := n.balance(d.Budget)
+	keepTarget := n.keepTargetFor(balance, d, shard)
 	free := d.Free
 	if d.Need > 0 {
 		free = 0 // the waiting request uses up what the requester has
 	}
 	if wanted := keepTarget - free; wanted > 0 {
-		ahead := min(wanted, p.free-p.free/poolReserveDivisor)
-		p.free -= ahead
+		ahead := min(wanted, balance.free-balance.free/poolReserveDivisor)
+		balance.free -= ahead
 		b.granted += ahead
-		p.owed += wanted - ahead
+		balance.owed += wanted - ahead
 	}
-	return &prepaidpb.Supply{Budget: d.Budget, Granted: b.granted, Keep: keepTarget, Left: p.ledgerFree, Prepaid: p.prepaid, Drawn: p.counter.Drawn}
+	return &prepaidpb.Supply{Budget: d.Budget, Granted: b.granted, Keep: keepTarget, Left: balance.ledgerFree, Prepaid: balance.prepaid, Drawn: balance.counter.Drawn}
 }
 
 // keepTargetFor returns how many tokens of a budget a requester should hold; n.mu is held.
-func (n *Node) keepTargetFor(p *position, d *prepaidpb.Demand, shard int) int64 {
-	ahead := n.holdTime(p)
+func (n *Node) keepTargetFor(b *balance, d *prepaidpb.Demand, shard int) int64 {
+	ahead := n.holdTime(b)
 	if ahead < minAhead {
 		return 0
 	}
-	rate := max(float64(d.PerSecond), n.expectedDemand(p, shard))
+	rate := max(float64(d.PerSecond), n.expectedDemand(b, shard))
 	if rate < 1 {
 		return 0
 	}
@@ -228,9 +228,9 @@
 
 // expectedDemand returns the demand, in tokens a second, for which an instance that has shown none
 // yet is dealt tokens: part of the mean if most instances served have demand for the budget.
-func (n *Node) expectedDemand(p *position, shard int) float64 {
-	if instances := n.shards[shard].numServed; p.numActive*widespreadDivisor >= instances && instances > 0 {
-		return p.servedPerSecond / float64(instances) / widespreadDivisor
+func (n *Node) expectedDemand(b *balance, shard int) float64 {
+	if instances := n.shards[shard].numServed; b.numActive*widespreadDivisor >= instances && instances > 0 {
+		return b.servedPerSecond / float64(instances) / widespreadDivisor
 	}
 	return 0
 }
@@ -238,25 +238,25 @@
 // holdTime returns for how much time of demand tokens may be held at instances. Each instance's
 // share is proportional to its demand: equal shares left the few instances that serve a busy
 // account short in every partition.
-func (n *Node) holdTime(p *position) time.Duration {
-	if p.depleted {
+func (n *Node) holdTime(b *balance) time.Duration {
+	if b.depleted {
 		return 0
 	}
-	return p.holdTime(n.ahead)
+	return b.holdTime(n.ahead)
 }
 
 // supplyUnsolicited deals out budgets for which most instances served have demand and which the
 // requester has not reported yet; n.mu is held.
 func (n *Node) supplyUnsolicited(r *requester, shard int, reply *prepaidpb.RefillReply) {
 	maxSupplies := len(reply.Supplies) + maxUnsolicited
-	for id, p := range n.positions {
+	for id, b := range n.balances {
 		if len(reply.Supplies) >= maxSupplies {
 			return
 		}
-		if n.ShardOf(id) != shard || r.budgets[id] != nil || n.expectedDemand(p, shard) < 1 {
+		if n.ShardOf(id) != shard || r.budgets[id] != nil || n.expectedDemand(b, shard) < 1 {
 			continue
 		}
-		d := &prepaidpb.Demand{Budget: id, Usual: int64(p.typicalSize)}
+		d := &prepaidpb.Demand{Budget: id, Usual: int64(b.typicalSize)}
 		r.budgets[id] = &requesterBudget{}
 		reply.Supplies = append(reply.Supplies, n.supply(r, d, shard))
 	}
@@ -264,9 +264,9 @@
 
 // countDemand sums the demand of all instances that this one draws for; n.mu is held.
 func (n *Node) countDemand(now time.Time) {
-	for _, p := range n.positions {
-		p.servedPerSecond, p.heldByRequesters, p.numActive = 0, 0, 0
-		p.addDemand(p.perSecond)
+	for _, b := range n.balances {
+		b.servedPerSecond, b.heldByRequesters, b.numActive = 0, 0, 0
+		b.addDemand(b.perSecond)
 	}
 	for shard := range n.shards {
 		n.countRequesters(&n.shards[shard], now)
@@ -285,18 +285,18 @@
 		}
 		state.numServed++
 		for id, b := range r.budgets {
-			p := n.position(id)
-			p.addDemand(float64(b.perSecond))
-			p.heldByRequesters += b.free
+			balance := n.balance(id)
+			balance.addDemand(float64(b.perSecond))
+			balance.heldByRequesters += b.free
 		}
 	}
 }
 
 // addDemand adds one instance's demand.
-func (p *position) addDemand(perSecond float64) {
-	p.servedPerSecond += perSecond
+func (b *balance) addDemand(perSecond float64) {
+	b.servedPerSecond += perSecond
 	if perSecond >= 1 {
-		p.numActive++
+		b.numActive++
 	}
 }
 
@@ -304,13 +304,13 @@
 func (n *Node) drawsForOthers(shard int) bool { return n.shards[shard].numServed > 1 }
 
 // poolTarget returns how many free tokens of a budget a drawer wants to hold; n.mu is held.
-func (n *Node) poolTarget(p *position) int64 {
-	ahead := n.holdTime(p)
+func (n *Node) poolTarget(b *balance) int64 {
+	ahead := n.holdTime(b)
 	if ahead < minAhead {
-		return p.target(n.ahead)
+		return b.target(n.ahead)
 	}
-	own := p.perSecond * ahead.Seconds()
-	pool := p.servedPerSecond * min(ahead/poolDivisor, poolAhead).Seconds()
-	owed := min(p.owed, int64(p.servedPerSecond*maxOwedDrawTime.Seconds()))
+	own := b.perSecond * ahead.Seconds()
+	pool := b.servedPerSecond * min(ahead/poolDivisor, poolAhead).Seconds()
+	owed := min(b.owed, int64(b.servedPerSecond*maxOwedDrawTime.Seconds()))
 	return int64(own+pool) + owed
 }
--- a/pkg/prepaid/lenders.go
+++ b/pkg/prepaid/lenders.go
@@ -56,7 +56,7 @@
 func (n *Node) borrowFromEach(ctx context.Context, lenders []string, budget string, tokens int64) {
 	for _, lender := range lenders {
 		n.mu.Lock()
-		missing := tokens - n.position(budget).free
+		missing := tokens - n.balance(budget).free
 		n.mu.Unlock()
 		if missing <= 0 || ctx.Err() != nil {
 			return
@@ -69,8 +69,8 @@
 func (n *Node) lendFree(budget string, maxTokens int64) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.position(budget)
-	lent := max(min(maxTokens, p.free-p.waiting), 0)
-	p.free -= lent
+	b := n.balance(budget)
+	lent := max(min(maxTokens, b.free-b.waiting), 0)
+	b.free -= lent
 	return lent
 }
--- a/pkg/prepaid/loan.go
+++ b/pkg/prepaid/loan.go
@@ -12,10 +12,10 @@
 // borrow asks peers for the missing tokens, one after the other, until one lends.
 func (n *Node) borrow(ctx context.Context, budget string, need int64) error {
 	n.mu.Lock()
-	p := n.position(budget)
-	need -= p.free
-	ahead := int64(p.perSecond * loanAhead.Seconds())
-	avoided := n.Now().Before(p.lendersAvoidedUntil)
+	b := n.balance(budget)
+	need -= b.free
+	ahead := int64(b.perSecond * loanAhead.Seconds())
+	avoided := n.Now().Before(b.lendersAvoidedUntil)
 	n.mu.Unlock()
 	if avoided {
 		return errNoLender
@@ -30,7 +30,7 @@
 		}
 	}
 	n.mu.Lock()
-	p.lendersAvoidedUntil = n.Now().Add(lenderBackoff)
+	b.lendersAvoidedUntil = n.Now().Add(lenderBackoff)
 	n.mu.Unlock()
 	return errNoLender
 }
@@ -72,7 +72,7 @@
 		return errNoLender
 	}
 	n.mu.Lock()
-	n.position(budget).free += tokens
+	n.balance(budget).free += tokens
 	n.mu.Unlock()
 	n.Observer.Borrowed(budget, peer, tokens)
 	return nil
@@ -92,11 +92,11 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.position(budget)
-	more := max(min(ahead, p.free/2), 0)
-	p.free -= more
-	p.demand += need + more // so that this instance holds enough for its borrowers, too
-	p.largest = max(p.largest, need)
+	b := n.balance(budget)
+	more := max(min(ahead, b.free/2), 0)
+	b.free -= more
+	b.demand += need + more // so that this instance holds enough for its borrowers, too
+	b.largest = max(b.largest, need)
 	return need + more
 }
 
--- a/pkg/prepaid/node.go
+++ b/pkg/prepaid/node.go
@@ -150,7 +150,7 @@
 	mu        sync.Mutex
 	shards    []shardState
 	ahead     time.Duration // for how much time of demand tokens are held; grows after an outage
-	positions map[string]*position
+	balances  map[string]*balance
 	lastTick  time.Time
 	startedAt time.Time
 	recalls   map[string]recallTimes
@@ -163,8 +163,8 @@
 	// drawer has confirmed this instance's report, maxReportedEra the latest for which a drawer may
 	// have received one.
 	minEra, confirmedEra, maxReportedEra uint64
-	// startEra is the era of the store's first answer to this process.
-	startEra uint64
+	// firstSeenEra is the era of the store's first answer to this process.
+	firstSeenEra uint64
 	// verifying says that VerifyEra is running.
 	verifying bool
 	// drawers are the drawers that this instance has asked, by incarnation.
@@ -180,7 +180,7 @@
 		Deps:      deps,
 		shards:    make([]shardState, cfg.Shards),
 		ahead:     cfg.Ahead,
-		positions: map[string]*position{},
+		balances:  map[string]*balance{},
 		lastTick:  deps.Now(),
 		startedAt: deps.Now(),
 		recalls:   map[string]recallTimes{},
@@ -244,22 +244,22 @@
 	amounts := n.Amounts(n.ShardOf(budget))
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.position(budget)
-	p.noteTopUp(amounts.Tokens[budget])
-	if n.Now().Sub(p.ledgerSeenAt) > keepTargetLifetime {
+	b := n.balance(budget)
+	b.noteTopUp(amounts.Tokens[budget])
+	if n.Now().Sub(b.ledgerSeenAt) > keepTargetLifetime {
 		return false
 	}
-	rest := p.ledgerFree + p.free - tokens
-	return rest >= 0 && rest < p.prepaid/urgentDivisor // a request that exceeds the rest is refused as exhausted instead
+	rest := b.ledgerFree + b.free - tokens
+	return rest >= 0 && rest < b.prepaid/urgentDivisor // a request that exceeds the rest is refused as exhausted instead
 }
 
-func (n *Node) position(budget string) *position {
-	p := n.positions[budget]
-	if p == nil {
-		p = &position{}
-		n.positions[budget] = p
+func (n *Node) balance(budget string) *balance {
+	b := n.balances[budget]
+	if b == nil {
+		b = &balance{}
+		n.balances[budget] = b
 	}
-	return p
+	return b
 }
 
 // tryTakeUnclaimed takes tokens out of the free ones that no request waits for. Tokens that a write
@@ -267,15 +267,15 @@
 func (n *Node) tryTakeUnclaimed(budget string, tokens int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.position(budget)
-	return tokens <= p.free-p.waiting && p.take(tokens)
+	b := n.balance(budget)
+	return tokens <= b.free-b.waiting && b.take(tokens)
 }
 
 // tryTake takes tokens out of the free ones.
 func (n *Node) tryTake(budget string, tokens int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.position(budget).take(tokens)
+	return n.balance(budget).take(tokens)
 }
 
 // Reserve sets tokens aside for one request: from the free ones, from a drawer or the ledger or,
@@ -290,7 +290,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.position(budget).reserve(tokens)
+	n.balance(budget).reserve(tokens)
 	return &Reservation{budget: budget, tokens: tokens}, nil
 }
 
@@ -361,7 +361,7 @@
 func (n *Node) newShortError(budget string, need int64) *ShortError {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	exhausted := n.position(budget).exceedsLedger(need) && n.recallComplete(budget, n.Now())
+	exhausted := n.balance(budget).exceedsLedger(need) && n.recallComplete(budget, n.Now())
 	return &ShortError{Budget: budget, Need: need, Exhausted: exhausted, Step: "ledger", Err: ErrTooFew}
 }
 
@@ -372,12 +372,12 @@
 	amounts := n.Amounts(n.ShardOf(budget))
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.position(budget)
-	p.noteTopUp(amounts.Tokens[budget])
+	b := n.balance(budget)
+	b.noteTopUp(amounts.Tokens[budget])
 	now := n.Now()
 	recalled := now.Sub(n.recalls[budget].last) < minRecallInterval
-	seen := now.Sub(p.ledgerSeenAt) < exhaustedLifetime
-	return recalled && n.recallComplete(budget, now) && seen && p.exceedsLedger(tokens)
+	seen := now.Sub(b.ledgerSeenAt) < exhaustedLifetime
+	return recalled && n.recallComplete(budget, now) && seen && b.exceedsLedger(tokens)
 }
 
 // Settle ends a reservation with the tokens used; the rest becomes free again. Usage above the
@@ -389,12 +389,12 @@
 		return
 	}
 	r.done = true
-	n.position(r.budget).settle(r.tokens, min(max(used, 0), r.tokens))
+	n.balance(r.budget).settle(r.tokens, min(max(used, 0), r.tokens))
 }
 
 // Free returns the tokens of a budget that this instance holds and has not reserved.
 func (n *Node) Free(budget string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.position(budget).free
+	return n.balance(budget).free
 }
--- a/pkg/prepaid/recall.go
+++ b/pkg/prepaid/recall.go
@@ -37,8 +37,8 @@
 	if !known {
 		n.noteRecall(budget, now)
 	}
-	p := n.position(budget)
-	p.scarce, p.depleted = true, true
+	b := n.balance(budget)
+	b.scarce, b.depleted = true, true
 	n.mu.Unlock()
 	if known {
 		return false
@@ -76,11 +76,11 @@
 // HandleRecall returns the surplus of a budget that another instance found short.
 func (n *Node) HandleRecall(budget string) {
 	n.mu.Lock()
-	p := n.position(budget)
-	p.scarce, p.depleted = true, true
+	b := n.balance(budget)
+	b.scarce, b.depleted = true, true
 	shard := n.ShardOf(budget)
-	p.returnTokens(p.free - n.targetFor(p, shard))
-	if p.counter.Returned > p.returnedInLedger && n.shards[shard].pendingWrite == nil {
+	b.returnTokens(b.free - n.targetFor(b, shard))
+	if b.counter.Returned > b.returnedInLedger && n.shards[shard].pendingWrite == nil {
 		n.startWrite(shard, "", 0)
 	}
 	n.mu.Unlock()
--- a/pkg/prepaid/recovery.go
+++ b/pkg/prepaid/recovery.go
@@ -81,7 +81,7 @@
 func (n *Node) NoteFirstEra(era uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.era, n.minEra, n.startEra = max(n.era, era), max(n.minEra, era), era
+	n.era, n.minEra, n.firstSeenEra = max(n.era, era), max(n.minEra, era), era
 }
 
 // scheduleReports makes this instance report for every shard, even if it has seen nothing, because
@@ -114,9 +114,9 @@
 // ownRow returns this instance's counters of a shard's budgets; n.mu is held.
 func (n *Node) ownRow(shard int) map[string]Counter {
 	counters := map[string]Counter{}
-	for id, p := range n.positions {
-		if n.ShardOf(id) == shard && p.counter != (Counter{}) {
-			counters[id] = p.counter
+	for id, b := range n.balances {
+		if n.ShardOf(id) == shard && b.counter != (Counter{}) {
+			counters[id] = b.counter
 		}
 	}
 	return counters
@@ -134,7 +134,7 @@
 	}
 	r.mergedSerial = r.serial
 	if !s.Unsettled {
-		if n.startEra < s.Era {
+		if n.firstSeenEra < s.Era {
 			delete(s.Reserves, n.Name) // this write includes the draws that the reserve stood for
 		}
 		return result
--- a/pkg/prepaid/refill.go
+++ b/pkg/prepaid/refill.go
@@ -95,9 +95,9 @@
 			return busy, false
 		}
 		n.mu.Lock()
-		p := n.position(budget)
-		demand := demandOf(budget, p, n.drawerState(name).confirmed[budget])
-		demand.Need = max(tokens-p.free, 0)
+		b := n.balance(budget)
+		demand := demandOf(budget, b, n.drawerState(name).confirmed[budget])
+		demand.Need = max(tokens-b.free, 0)
 		n.mu.Unlock()
 		req := &prepaidpb.RefillRequest{Shard: int32(shard), Demands: []*prepaidpb.Demand{demand}}
 		reply, err := n.callRefill(ctx, name, req, needTimeout)
@@ -126,10 +126,10 @@
 	n.shards[shard].reporting = true
 	d := n.drawerState(name)
 	var demands []*prepaidpb.Demand
-	for id, p := range n.positions {
+	for id, b := range n.balances {
 		if n.ShardOf(id) == shard {
-			n.returnSurplus(d, id, p)
-			demands = append(demands, demandOf(id, p, d.returned[id]))
+			n.returnSurplus(d, id, b)
+			demands = append(demands, demandOf(id, b, d.returned[id]))
 		}
 	}
 	req := &prepaidpb.RefillRequest{Shard: int32(shard), Demands: demands}
@@ -162,7 +162,7 @@
 		case err == nil:
 			d.confirmed[id] = max(d.confirmed[id], sent.Returned)
 		case errors.Is(err, errDeclined):
-			n.position(id).free += d.returned[id] - d.confirmed[id]
+			n.balance(id).free += d.returned[id] - d.confirmed[id]
 			d.returned[id] = d.confirmed[id]
 		default:
 			d.confirmed[id] = sent.Returned // the drawer may have counted it, so it never becomes free again
@@ -172,24 +172,24 @@
 
 // returnSurplus takes tokens well beyond the keep target out of the free ones; the next report
 // returns them; n.mu is held.
-func (n *Node) returnSurplus(d *drawerState, id string, p *position) {
-	if _, answered := d.granted[id]; !answered || n.Now().Sub(p.keepTargetAt) > keepTargetLifetime {
+func (n *Node) returnSurplus(d *drawerState, id string, b *balance) {
+	if _, answered := d.granted[id]; !answered || n.Now().Sub(b.keepTargetAt) > keepTargetLifetime {
 		return
 	}
-	surplus := p.free - p.keepTarget
-	if surplus <= p.keepTarget/surplusDivisor {
+	surplus := b.free - b.keepTarget
+	if surplus <= b.keepTarget/surplusDivisor {
 		return
 	}
-	p.free -= surplus
+	b.free -= surplus
 	d.returned[id] += surplus
 }
 
-func demandOf(id string, p *position, returned int64) *prepaidpb.Demand {
+func demandOf(id string, b *balance, returned int64) *prepaidpb.Demand {
 	return &prepaidpb.Demand{
 		Budget:    id,
-		PerSecond: int64(p.perSecond),
-		Usual:     int64(p.typicalSize),
-		Free:      p.free,
+		PerSecond: int64(b.perSecond),
+		Usual:     int64(b.typicalSize),
+		Free:      b.free,
 		Returned:  returned,
 	}
 }
@@ -266,18 +266,18 @@
 }
 
 func (n *Node) applySupply(d *drawerState, name string, supply *prepaidpb.Supply, now time.Time) {
-	p := n.position(supply.Budget)
+	b := n.balance(supply.Budget)
 	tokens := supply.Granted - d.granted[supply.Budget]
 	if tokens >= 0 {
 		d.granted[supply.Budget] = supply.Granted
 	}
 	if tokens > 0 {
-		p.free += tokens
+		b.free += tokens
 		n.Observer.Borrowed(supply.Budget, name, tokens)
 	}
 	n.witnessed.record(name, supply.Budget, supply.Drawn, now)
-	p.keepTarget, p.keepTargetAt = supply.Keep, now
-	p.ledgerFree, p.ledgerSeenAt, p.prepaid = supply.Left, now, supply.Prepaid
+	b.keepTarget, b.keepTargetAt = supply.Keep, now
+	b.ledgerFree, b.ledgerSeenAt, b.prepaid = supply.Left, now, supply.Prepaid
 	if supply.Exhausted {
 		n.noteRecall(supply.Budget, now)
 	}
--- a/pkg/prepaid/tick.go
+++ b/pkg/prepaid/tick.go
@@ -17,7 +17,7 @@
 	for shard := range drawers {
 		drawers[shard] = n.drawerFor(shard)
 	}
-	for shard, due := range n.tickPositions(drawers) {
+	for shard, due := range n.tickBalances(drawers) {
 		if drawers[shard] != "" {
 			go n.sendReport(shard, drawers[shard])
 		} else if due {
@@ -26,9 +26,9 @@
 	}
 }
 
-// tickPositions measures demand and returns, by shard, whether a write is due. It is not due for
+// tickBalances measures demand and returns, by shard, whether a write is due. It is not due for
 // shards that another instance draws.
-func (n *Node) tickPositions(drawers []string) []bool {
+func (n *Node) tickBalances(drawers []string) []bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Now()
@@ -42,14 +42,14 @@
 		draws[shard] = drawers[shard] == "" && n.mayWriteInBackground(shard)
 		due[shard] = draws[shard] && (n.shards[shard].unavailable || n.shards[shard].recovery.needsWrite())
 	}
-	for _, p := range n.positions {
-		p.tick(interval)
+	for _, b := range n.balances {
+		b.tick(interval)
 	}
 	n.countDemand(now)
-	for id, p := range n.positions {
+	for id, b := range n.balances {
 		shard := n.ShardOf(id)
-		p.noteTopUp(amounts[shard].Tokens[id])
-		if draws[shard] && n.writeDue(p, shard) {
+		b.noteTopUp(amounts[shard].Tokens[id])
+		if draws[shard] && n.writeDue(b, shard) {
 			due[shard] = true
 		}
 	}
@@ -108,16 +108,16 @@
 }
 
 // targetFor returns how many free tokens of a budget this instance wants to hold; n.mu is held.
-func (n *Node) targetFor(p *position, shard int) int64 {
+func (n *Node) targetFor(b *balance, shard int) int64 {
 	switch {
 	case n.stopping:
 		return 0
 	case n.drawsForOthers(shard):
-		return n.poolTarget(p)
-	case n.Now().Sub(p.keepTargetAt) <= keepTargetLifetime:
-		return p.keepTarget
+		return n.poolTarget(b)
+	case n.Now().Sub(b.keepTargetAt) <= keepTargetLifetime:
+		return b.keepTarget
 	}
-	return p.target(p.holdTime(n.ahead))
+	return b.target(b.holdTime(n.ahead))
 }
 
 // How much of a budget is held ahead of demand.
@@ -144,17 +144,17 @@
 }
 
 // writeDue returns surplus tokens of a budget and reports whether the budget needs a write.
-func (n *Node) writeDue(p *position, shard int) bool {
-	target := n.targetFor(p, shard)
-	surplus := p.free - target
-	if n.stopping || surplus > max(p.largest/returnDivisor, target/surplusDivisor) {
-		p.returnTokens(surplus)
-	}
-	back := p.counter.Returned - p.returnedInLedger
-	if p.scarce || n.stopping {
+func (n *Node) writeDue(b *balance, shard int) bool {
+	target := n.targetFor(b, shard)
+	surplus := b.free - target
+	if n.stopping || surplus > max(b.largest/returnDivisor, target/surplusDivisor) {
+		b.returnTokens(surplus)
+	}
+	back := b.counter.Returned - b.returnedInLedger
+	if b.scarce || n.stopping {
 		return back > 0
 	}
-	return back > target || float64(p.free) < lowWaterMark*float64(target)
+	return back > target || float64(b.free) < lowWaterMark*float64(target)
 }
 
 // Stop returns all unreserved tokens and waits until the ledger has them or ctx ends. Requests must
--- a/pkg/prepaid/witness.go
+++ b/pkg/prepaid/witness.go
@@ -9,7 +9,7 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// A draw that the store loses, because it is restored from an older copy, is known to the instances
+// A draw that the store loses, in a rollback to an older copy of itself, is known to the instances
 // that have seen it. The writer must not be the only one. Before any token of the draw is spent,
 // lent or dealt out, the writer therefore reports it to a witness, in another failure domain if
 // there is one. A draw without a witness is treated like one whose answer was lost: it stays in the
@@ -121,7 +121,7 @@
 	defer n.mu.Unlock()
 	drawn := map[string]Counter{}
 	for id, counter := range after.Writers[n.Self].Counters {
-		if counter.Drawn > n.position(id).counter.Drawn {
+		if counter.Drawn > n.balance(id).counter.Drawn {
 			drawn[id] = Counter{Drawn: counter.Drawn}
 		}
 	}
--- a/pkg/prepaid/write.go
+++ b/pkg/prepaid/write.go
@@ -107,11 +107,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	shard := n.ShardOf(budget)
-	p := n.position(budget)
-	p.waiting += need
-	defer func() { p.waiting -= need }()
-	for writes := 0; !p.take(need); {
-		if writes == maxDrawWrites || (writes > 0 && p.exceedsLedger(need)) || n.recentlyTooFew(p, shard, need) {
+	b := n.balance(budget)
+	b.waiting += need
+	defer func() { b.waiting -= need }()
+	for writes := 0; !b.take(need); {
+		if writes == maxDrawWrites || (writes > 0 && b.exceedsLedger(need)) || n.recentlyTooFew(b, shard, need) {
 			return false, nil
 		}
 		state := &n.shards[shard]
@@ -140,13 +140,13 @@
 
 // recentlyTooFew reports whether this drawer recently saw that the ledger has too few tokens for a
 // need; n.mu is held.
-func (n *Node) recentlyTooFew(p *position, shard int, need int64) bool {
-	return n.drawsForOthers(shard) && p.exceedsLedger(need) && n.Now().Sub(p.ledgerSeenAt) < drawerTooFewLifetime
+func (n *Node) recentlyTooFew(b *balance, shard int, need int64) bool {
+	return n.drawsForOthers(shard) && b.exceedsLedger(need) && n.Now().Sub(b.ledgerSeenAt) < drawerTooFewLifetime
 }
 
 // exceedsLedger reports whether a need exceeds the free tokens plus what the ledger had when it was
 // last seen.
-func (p *position) exceedsLedger(need int64) bool { return need-p.free > p.ledgerFree }
+func (b *balance) exceedsLedger(need int64) bool { return need-b.free > b.ledgerFree }
 
 // await waits for a write; n.mu is held, and unlocked during the wait.
 func (n *Node) await(ctx context.Context, f *pendingWrite) error {
@@ -212,26 +212,26 @@
 // transfers collects the transfer of each budget of a shard; n.mu is held.
 func (n *Node) transfers(shard int, budget string, need int64) map[string]Transfer {
 	out := map[string]Transfer{}
-	for id, p := range n.positions {
+	for id, b := range n.balances {
 		if n.ShardOf(id) != shard {
 			continue
 		}
-		target := n.targetFor(p, shard)
-		p.owed = 0
+		target := n.targetFor(b, shard)
+		b.owed = 0
 		transfer := Transfer{
-			Known:    p.counter,
-			Returned: p.counter.Returned,
-			More:     max(p.waiting-p.free, 0),
+			Known:    b.counter,
+			Returned: b.counter.Returned,
+			More:     max(b.waiting-b.free, 0),
 			// As much again as requests are waiting for is drawn for those that arrive during the
 			// write.
-			Ahead:        max(target-p.free, p.waiting),
+			Ahead:        max(target-b.free, b.waiting),
 			AheadDivisor: aheadDivisor,
 		}
 		if id == budget {
-			transfer.Need = max(need-p.free, 0)
+			transfer.Need = max(need-b.free, 0)
 			transfer.More = max(transfer.More-transfer.Need, 0)
 		}
-		if n.stopping || p.depleted {
+		if n.stopping || b.depleted {
 			transfer.Ahead = 0
 		}
 		out[id] = transfer
@@ -320,7 +320,7 @@
 	n.applyRecovery(shard, after)
 	for id, counter := range after.Writers[n.Self].Counters {
 		if !witnessed {
-			counter.Drawn = n.position(id).counter.Drawn
+			counter.Drawn = n.balance(id).counter.Drawn
 		}
 		n.applyBudget(shard, id, counter, after)
 	}
@@ -339,17 +339,17 @@
 }
 
 func (n *Node) applyBudget(shard int, id string, counter Counter, after *Shard) {
-	p := n.position(id)
-	drawn, returned := p.applyCounter(counter)
-	p.recordLedger(after.Budgets[id].Prepaid, after.Free(id), int(n.numSharers(shard)), n.Now())
-	p.elsewherePerSecond, p.heldElsewhere = after.demandElsewhere(n.Name, id, n.Fleet.SharesBudgets)
+	b := n.balance(id)
+	drawn, returned := b.applyCounter(counter)
+	b.recordLedger(after.Budgets[id].Prepaid, after.Free(id), int(n.numSharers(shard)), n.Now())
+	b.elsewherePerSecond, b.heldElsewhere = after.demandElsewhere(n.Name, id, n.Fleet.SharesBudgets)
 	if drawn == 0 && returned == 0 {
 		return
 	}
 	n.Observer.Moved(Movement{
-		Budget: id, Drawn: drawn, Returned: returned, Left: p.ledgerFree,
-		Free: p.free, Reserved: p.reserved, Target: n.targetFor(p, shard), HeldElsewhere: p.heldElsewhere,
-		PerSecond: int64(p.perSecond), ElsewherePerSecond: int64(p.elsewherePerSecond),
+		Budget: id, Drawn: drawn, Returned: returned, Left: b.ledgerFree,
+		Free: b.free, Reserved: b.reserved, Target: n.targetFor(b, shard), HeldElsewhere: b.heldElsewhere,
+		PerSecond: int64(b.perSecond), ElsewherePerSecond: int64(b.elsewherePerSecond),
 	})
 }
 
@@ -358,14 +358,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := Holder{PerSecond: map[string]int64{}, Held: map[string]int64{}}
-	for id, p := range n.positions {
+	for id, b := range n.balances {
 		if n.ShardOf(id) != shard {
 			continue
 		}
-		if p.servedPerSecond >= 1 {
-			h.PerSecond[id] = int64(p.servedPerSecond)
+		if b.servedPerSecond >= 1 {
+			h.PerSecond[id] = int64(b.servedPerSecond)
 		}
-		if held := p.free + p.heldByRequesters; held > 0 {
+		if held := b.free + b.heldByRequesters; held > 0 {
 			h.Held[id] = held
 		}
 	}
--- a/pkg/quarantine/keeper/keeper.go
+++ b/pkg/quarantine/keeper/keeper.go
@@ -76,8 +76,8 @@
 // Hash implements member.Quarantine.
 func (k *Keeper) Hash() (hash uint64, stored bool) { return k.Table().Hash(), k.spreader.Stored() }
 
-// Heard implements member.Quarantine.
-func (k *Keeper) Heard(address string, hash uint64, stored bool) {
+// ReceiveHash implements member.Quarantine.
+func (k *Keeper) ReceiveHash(address string, hash uint64, stored bool) {
 	k.spreader.ReceiveHash(address, hash, stored)
 }
 
--- a/pkg/quarantine/keeper/verdicts.go
+++ b/pkg/quarantine/keeper/verdicts.go
@@ -37,7 +37,7 @@
 func (k *Keeper) requestStore() { k.storeRequests.TryPut(struct{}{}) }
 
 // storeVerdicts merges what this instance knows into the stored object. Since writes merge, it does not
-// matter which instances write, in which order, or whether the store was restored from an older copy.
+// matter which instances write, in which order, or whether the store was rolled back to an older copy.
 func (k *Keeper) storeVerdicts(ctx context.Context) {
 	err := store.Update(ctx, k.Store, verdictsKey, func(present []byte) ([]byte, error) {
 		stored, err := decodeVerdicts(present)
--- a/pkg/registry/emptied.go
+++ b/pkg/registry/emptied.go
@@ -8,7 +8,7 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// lostEmptiedLifetime is how long a domain still counts as emptied after the store was restored from
+// lostEmptiedLifetime is how long a domain still counts as emptied after the store was rolled back to
 // a copy that does not list it: operators write the list again within seconds.
 const lostEmptiedLifetime = 10 * time.Second
 
@@ -17,7 +17,7 @@
 	// position is the store position that the domains reflect; it is zero before the first list.
 	position store.Position
 	domains  map[string]bool
-	// retainedUntil holds, for the domains that a restored store no longer lists, the time until
+	// retainedUntil holds, for the domains that the store no longer lists after a rollback, the time until
 	// which they still count as emptied.
 	retainedUntil map[string]time.Time
 	// changes holds the domains that were emptied or restored since the last TakeDomainChanges.
@@ -106,7 +106,7 @@
 	r.emptied.position = store.Later(r.emptied.position, position)
 }
 
-// ExpireEmptied restores the domains that a restored store lost and that were not emptied again in
+// ExpireEmptied restores the domains that the store lost in a rollback and that were not emptied again in
 // time, and reports whether there were any.
 func (r *Registry) ExpireEmptied() (restored bool) {
 	r.mu.Lock()
--- a/pkg/registry/era.go
+++ b/pkg/registry/era.go
@@ -8,7 +8,7 @@
 
 // Bounds on the records of upstreams that left.
 const (
-	// departureLifetime is how long a record is kept: a copy that the store is restored from is
+	// departureLifetime is how long a record is kept: a copy that the store is rolled back to is
 	// some seconds old.
 	departureLifetime = time.Minute
 	// maxDepartures is how many records are kept: when 300 upstreams are all replaced, each
@@ -37,12 +37,12 @@
 	r.departures[u.ID] = departure{born: u.Born, until: now.Add(departureLifetime)}
 }
 
-// startEra adjusts the first list of a later era, in which the store was restored from an older
+// noteRollback adjusts the first list of a later era, in which the store was rolled back to an older
 // copy. An upstream that announced later than the copy that it leaves is listed there as in service,
 // and would get requests that break off when it exits. It counts as leaving until its entry is
 // written again. Entries that the copy lacks may belong to live upstreams, which write them again;
 // r.mu is held.
-func (r *Registry) startEra(list []Upstream) {
+func (r *Registry) noteRollback(list []Upstream) {
 	r.staleEntries = map[string]store.Position{}
 	for i := range list {
 		if u := &list[i]; !u.Leaving && r.hasAnnouncedLeaving(u) {
@@ -62,7 +62,7 @@
 }
 
 // withStaleAsLeaving returns an entry as it is to be applied: as leaving if it is stale, that is,
-// the upstream has not written it since the store was restored; r.mu is held.
+// the upstream has not written it since the store was rolled back; r.mu is held.
 func (r *Registry) withStaleAsLeaving(u Upstream) Upstream {
 	stalePosition, stale := r.staleEntries[u.ID]
 	if !stale {
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -32,7 +32,7 @@
 	// restarted holds the addresses of upstreams that restarted under the same ID.
 	restarted []string
 	// departures records upstreams that left, by ID. staleEntries holds the positions of entries
-	// that are older in the restored store than what was known before (startEra).
+	// that are older in the store after a rollback than what was known before (noteRollback).
 	departures   map[string]departure
 	staleEntries map[string]store.Position
 	// occupants holds the last incarnation at each address, superseded those that were followed by
@@ -90,7 +90,7 @@
 		return
 	}
 	if !r.position.IsZero() && position.Era != r.position.Era {
-		r.startEra(list)
+		r.noteRollback(list)
 	}
 	r.position = position
 	present := map[string]bool{}
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// Guards against requests to an upstream that was leaving or gone before the store was restored from
+// Guards against requests to an upstream that was leaving or gone before the store was rolled back to
 // an older copy that lists it as in service. It stays out of service until it writes its entry again;
 // upstreams whose entries the copy lacks stay in service for the time they need to write them again.
 func TestLeavingStaysLeavingWhenTheStoreGoesBack(t *testing.T) {
@@ -133,10 +133,10 @@
 		}
 		return ids
 	}
-	restored := []Upstream{entry("a", 3), entry("b", 3), entry("c", 3)}
-	r.Replace(restored, store.Position{Era: 2, Version: 4})
+	rolledBack := []Upstream{entry("a", 3), entry("b", 3), entry("c", 3)}
+	r.Replace(rolledBack, store.Position{Era: 2, Version: 4})
 	if got := inService(); got != "cd" {
-		t.Errorf("in service after the store was restored: %s", got)
+		t.Errorf("in service after the store was rolled back: %s", got)
 	}
 	r.Replace([]Upstream{entry("a", 3), entry("b", 3), entry("c", 3), entry("d", 5)}, store.Position{Era: 2, Version: 6})
 	if got := inService(); got != "cd" {
@@ -213,7 +213,7 @@
 	}
 }
 
-// Guards against requests to an emptied domain in the seconds after the store was restored from a copy
+// Guards against requests to an emptied domain in the seconds after the store was rolled back to a copy
 // that is older than the operators' change.
 func TestEmptiedDomainStaysOutWhenTheStoreGoesBack(t *testing.T) {
 	r, c := newTestRegistry()
--- a/pkg/router/era.go
+++ b/pkg/router/era.go
@@ -28,7 +28,7 @@
 		return // the first era that this process sees
 	}
 	r.log.Event(eventlog.StoreWentBack, "", eventlog.Fields{"from": change.From, "era": change.To})
-	r.discovery.NoteStoreRestored()
+	r.discovery.NoteStoreRollback()
 	r.tokens.NoteEra(uint64(change.To))
 	r.quarantine.StoreAgain()
 }
--- a/pkg/routing/config.go
+++ b/pkg/routing/config.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Kind states whether requests of a route may be repeated.
+// Kind states whether requests of a route may be retried.
 type Kind string
 
 // The kinds of routes.
@@ -56,7 +56,7 @@
 	Targets []Target `json:"targets"`
 }
 
-// Repeatable reports whether a request that may have run may be sent again.
+// Retryable reports whether a request that may have run may be retried.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
--- a/pkg/store/position.go
+++ b/pkg/store/position.go
@@ -7,7 +7,7 @@
 )
 
 // Era identifies the period between two rollbacks of the store; it increases with each. In a rollback
-// the store is restored from a copy of itself that is some seconds old: the writes that it acknowledged
+// the store returns to a copy of itself that is some seconds old: the writes that it acknowledged
 // after the copy are lost, and their versions are assigned again.
 type Era uint64
 
