--- a/pkg/bill/journal.go
+++ b/pkg/bill/journal.go
@@ -110,12 +110,12 @@
 	copyRetryInterval = time.Second
 )
 
-// WaitForCopy waits until every record so far has a copy or is in the store, so
+// AwaitCopy waits until every record so far has a copy or is in the store, so
 // that a request that is about to be dispatched is on record even if this
 // instance crashes at once. It gives up after copyWaitTimeout: while the peer is
 // unreachable, records are lost only if this instance also crashes before they
 // are in the store.
-func (j *Journal) WaitForCopy(ctx context.Context) {
+func (j *Journal) AwaitCopy(ctx context.Context) {
 	j.mu.Lock()
 	upTo := j.seq
 	j.mu.Unlock()
--- a/pkg/configsync/syncer.go
+++ b/pkg/configsync/syncer.go
@@ -16,14 +16,14 @@
 const (
 	// watchTimeout bounds one long-polling watch. If its answer is lost, the connection stays
 	// open, so that only this timeout reveals the loss. Together with the store client's timeout
-	// (1 s) and retryDelay it stays within the 4 s in which a document must come into force.
+	// (1 s) and retryInterval it stays within the 4 s in which a document must come into force.
 	// With eight failure domains this costs 4 calls a second; 20 s would cost 0.4.
 	watchTimeout = 2 * time.Second
 	// pollInterval is how often an instance that does not watch reads the store, in case a
 	// peer's notification was lost.
 	pollInterval = 30 * time.Second
-	// retryDelay is the delay after a failed call to the store.
-	retryDelay = 500 * time.Millisecond
+	// retryInterval is the delay after a failed call to the store.
+	retryInterval = 500 * time.Millisecond
 	// roleCheckInterval is how often an instance that does not watch checks whether it should.
 	roleCheckInterval = time.Second
 )
@@ -84,7 +84,7 @@
 	if since == store.NoPosition {
 		listed, err := s.load(ctx)
 		if err != nil {
-			pause.For(ctx, retryDelay)
+			pause.For(ctx, retryInterval)
 			return since
 		}
 		since = listed
@@ -95,7 +95,7 @@
 	}
 	if err != nil {
 		s.log.Event(eventlog.WatchFailed, "", eventlog.Fields{"copy": Kind, "cause": err.Error()})
-		pause.For(ctx, retryDelay)
+		pause.For(ctx, retryInterval)
 		return since
 	}
 	var changed []store.Object
--- a/pkg/entry/reserve.go
+++ b/pkg/entry/reserve.go
@@ -68,7 +68,7 @@
 	}
 	c.opened = true
 	c.entry.Journal.Open(c.r.id, c.r.budget, c.reservation.Tokens())
-	c.entry.Journal.WaitForCopy(ctx)
+	c.entry.Journal.AwaitCopy(ctx)
 }
 
 // settle charges one attempt and returns the rest of its reservation.
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -47,12 +47,12 @@
 	// breakerPollInterval is how often a follower checks whether it may call the store, or still
 	// needs to.
 	breakerPollInterval = 50 * time.Millisecond
-	// minRetryPause and maxRetryPause bound the pause between failing calls, which doubles from one
+	// minRetryInterval and maxRetryInterval bound the pause between failing calls, which doubles from one
 	// to the other: short enough to be up to date within a second of the store's recovery, long
 	// enough to bound the number of calls to a store that refuses them. The duration of the failed
 	// call is subtracted from the pause, so a call that timed out is not followed by a full pause.
-	minRetryPause = 100 * time.Millisecond
-	maxRetryPause = 800 * time.Millisecond
+	minRetryInterval = 100 * time.Millisecond
+	maxRetryInterval = 800 * time.Millisecond
 )
 
 // Copy receives what the follower reads from the store.
@@ -120,13 +120,13 @@
 
 // Run keeps the copy up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	wait := minRetryPause
+	wait := minRetryInterval
 	for ctx.Err() == nil {
 		if f.failing && !f.fresh.currentPosition().IsZero() && !f.WatchesStore() {
 			f.recordSuccess() // other instances reach the store and confirm this copy
 		}
 		if !f.failing {
-			wait = minRetryPause
+			wait = minRetryInterval
 		}
 		began := time.Now()
 		err := f.step(ctx)
@@ -149,8 +149,8 @@
 		default:
 			f.recordFailure(err)
 			delay := wait/2 + rand.N(wait/2)
-			pause.For(ctx, max(delay-time.Since(began), minRetryPause))
-			wait = min(2*wait, maxRetryPause)
+			pause.For(ctx, max(delay-time.Since(began), minRetryInterval))
+			wait = min(2*wait, maxRetryInterval)
 		}
 	}
 }
--- a/pkg/instance/instance.go
+++ b/pkg/instance/instance.go
@@ -101,7 +101,7 @@
 	// flushOnStop.
 	backgroundCtx    context.Context
 	cancelBackground context.CancelFunc
-	tasks            sync.WaitGroup
+	backgroundTasks  sync.WaitGroup
 }
 
 // New creates the components of an instance and binds its addresses without
--- a/pkg/instance/run.go
+++ b/pkg/instance/run.go
@@ -16,7 +16,7 @@
 	billFlushInterval = 5 * time.Second
 	discoverInterval  = 5 * time.Second
 	registerInterval  = 30 * time.Second
-	retryDelay        = 200 * time.Millisecond
+	retryInterval     = 200 * time.Millisecond
 )
 
 // Run serves requests until ctx ends, then shuts down gracefully: it reports the
@@ -25,7 +25,7 @@
 func (i *Instance) Run(ctx context.Context) error {
 	i.adminServer.Serve()
 	i.startBackgroundTasks()
-	if i.waitForConfig(ctx) {
+	if i.awaitConfig(ctx) {
 		i.clientServer.Serve()
 		i.lifecycle.Synced()
 		<-ctx.Done()
@@ -33,15 +33,15 @@
 	return i.stop()
 }
 
-// waitForConfig waits until the configuration has been loaded from the store or,
+// awaitConfig waits until the configuration has been loaded from the store or,
 // while the store is down, from any reachable peer. It reports false if ctx ended
 // first.
-func (i *Instance) waitForConfig(ctx context.Context) bool {
+func (i *Instance) awaitConfig(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		if i.loadConfigOnce(ctx) {
 			return true
 		}
-		pause.For(ctx, retryDelay)
+		pause.For(ctx, retryInterval)
 	}
 	return false
 }
@@ -63,20 +63,20 @@
 
 // startBackgroundTasks starts a goroutine for each background task.
 func (i *Instance) startBackgroundTasks() {
-	i.startTask(func(ctx context.Context) { _ = i.peerServer.Serve(ctx) })
-	i.startTask(i.configSyncer.Run)
-	i.startTask(i.claims.Run)
-	i.startTask(i.quarantine.Run)
-	i.startTask(i.quarantine.Spread)
-	i.startTask(i.runConfigFetches)
-	i.startTask(i.entry.PollLoads)
-	i.startTask(i.entry.PollIncarnations)
-	i.startTask(i.runHeartbeats)
-	i.startPeriodicTask(budgetInterval, i.budgets.Tick)
-	i.startPeriodicTask(budgetInterval, i.syncLedger)
-	i.startPeriodicTask(billCopyInterval, func(ctx context.Context) { _ = i.journal.Copy(ctx) })
-	i.startPeriodicTask(billFlushInterval, i.flushBills)
-	i.startPeriodicTask(discoverInterval, i.discover)
+	i.runInBackground(func(ctx context.Context) { _ = i.peerServer.Serve(ctx) })
+	i.runInBackground(i.configSyncer.Run)
+	i.runInBackground(i.claims.Run)
+	i.runInBackground(i.quarantine.Run)
+	i.runInBackground(i.quarantine.Spread)
+	i.runInBackground(i.runConfigFetches)
+	i.runInBackground(i.entry.PollLoads)
+	i.runInBackground(i.entry.PollIncarnations)
+	i.runInBackground(i.runHeartbeats)
+	i.runEvery(budgetInterval, i.budgets.Tick)
+	i.runEvery(budgetInterval, i.syncLedger)
+	i.runEvery(billCopyInterval, func(ctx context.Context) { _ = i.journal.Copy(ctx) })
+	i.runEvery(billFlushInterval, i.flushBills)
+	i.runEvery(discoverInterval, i.discover)
 }
 
 // discover registers this instance when registerInterval has passed, and reads the
@@ -90,18 +90,18 @@
 	i.readInstanceList(ctx)
 }
 
-func (i *Instance) startTask(run func(context.Context)) {
-	i.tasks.Add(1)
+func (i *Instance) runInBackground(run func(context.Context)) {
+	i.backgroundTasks.Add(1)
 	go func() {
-		defer i.tasks.Done()
+		defer i.backgroundTasks.Done()
 		run(i.backgroundCtx)
 	}()
 }
 
-// startPeriodicTask starts a background task that calls run immediately and then
+// runEvery starts a background task that calls run immediately and then
 // repeatedly, with a pause of interval between calls.
-func (i *Instance) startPeriodicTask(interval time.Duration, run func(context.Context)) {
-	i.startTask(func(ctx context.Context) {
+func (i *Instance) runEvery(interval time.Duration, run func(context.Context)) {
+	i.runInBackground(func(ctx context.Context) {
 		for ctx.Err() == nil {
 			run(ctx)
 			pause.For(ctx, interval)
@@ -194,7 +194,7 @@
 	i.clientServer.Close()
 	i.flushOnStop()
 	i.cancelBackground()
-	i.tasks.Wait()
+	i.backgroundTasks.Wait()
 	i.lifecycle.Done()
 	i.adminServer.Close()
 	i.peerClient.Close()
@@ -212,7 +212,7 @@
 	_ = i.journal.Copy(ctx)
 	_ = i.billKeeper.TakeOver(ctx, i.table.Silent)
 	for ctx.Err() == nil && i.journal.Flush(ctx) != nil {
-		pause.For(ctx, retryDelay)
+		pause.For(ctx, retryInterval)
 	}
 	i.gossip.SendRound(ctx)
 }
--- a/pkg/prepaid/refill.go
+++ b/pkg/prepaid/refill.go
@@ -23,9 +23,9 @@
 	// write by the drawer, a recall and another write.
 	refillTimeout = time.Second
 	needTimeout   = 250 * time.Millisecond
-	// busyRetryDelay is the mean delay before a busy drawer is asked again: the time of some ledger
+	// busyRetryInterval is the mean time before a busy drawer is asked again: the time of some ledger
 	// writes.
-	busyRetryDelay = 30 * time.Millisecond
+	busyRetryInterval = 30 * time.Millisecond
 	// keepTargetLifetime is how long a drawer's keep target is valid.
 	keepTargetLifetime = 3 * time.Second
 )
@@ -107,7 +107,7 @@
 			return false, false
 		case err == nil && reply.Busy:
 			busy = true
-			pause.For(ctx, busyRetryDelay/2+rand.N(busyRetryDelay))
+			pause.For(ctx, busyRetryInterval/2+rand.N(busyRetryInterval))
 		case err == nil && len(reply.Supplies) == 1:
 			return true, reply.Supplies[0].Exhausted
 		}
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -21,9 +21,9 @@
 	// list.
 	position store.Position
 	entries  map[string]Upstream
-	// keptUntil holds, for entries that are missing after an outage, the time until which they are
-	// kept.
-	keptUntil map[string]time.Time
+	// retainedUntil holds, for entries that are missing after an outage, the time until which they are
+	// retained.
+	retainedUntil map[string]time.Time
 	// outageEndedAt is when the last store outage ended.
 	outageEndedAt time.Time
 	// storeUnavailable says that the store is unavailable to all instances.
@@ -47,11 +47,11 @@
 // New returns an empty registry.
 func New(now func() time.Time) *Registry {
 	return &Registry{
-		now:        now,
-		entries:    map[string]Upstream{},
-		keptUntil:  map[string]time.Time{},
-		byService:  map[string][]Upstream{},
-		departures: map[string]departure{},
+		now:           now,
+		entries:       map[string]Upstream{},
+		retainedUntil: map[string]time.Time{},
+		byService:     map[string][]Upstream{},
+		departures:    map[string]departure{},
 
 		occupants: map[string]occupant{},
 		emptied:   emptiedDomains{domains: map[string]bool{}, retainedUntil: map[string]time.Time{}},
@@ -72,8 +72,8 @@
 	r.storeUnavailable, r.outageEndedAt = false, r.now().Add(-ago)
 }
 
-// NoteStoreAvailable records that the store answers this instance. It does not count as the end of an outage, since
-// other instances may have reached the store all along.
+// NoteStoreAvailable records that the store answers this instance. It does not count as the end of an
+// outage, since other instances may have reached the store all along.
 func (r *Registry) NoteStoreAvailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 	r.setOccupant(u)
 	r.entries[u.ID] = u
-	delete(r.keptUntil, u.ID)
+	delete(r.retainedUntil, u.ID)
 }
 
 // Remove removes one entry, or keeps it for a while if it may only have lapsed during an outage of
@@ -153,7 +153,7 @@
 		r.markOccupantGone(&entry)
 	}
 	delete(r.entries, id)
-	delete(r.keptUntil, id)
+	delete(r.retainedUntil, id)
 }
 
 // noteLeft records that an upstream gets no new requests, if it was in service; r.mu is held.
@@ -190,7 +190,7 @@
 	if !known {
 		return
 	}
-	if until, kept := r.keptUntil[id]; kept && r.now().Before(until) {
+	if until, kept := r.retainedUntil[id]; kept && r.now().Before(until) {
 		return
 	}
 	outageEnd := r.outageEndedAt
@@ -198,8 +198,8 @@
 		outageEnd = r.now()
 	}
 	recent := r.now().Sub(outageEnd) < lapsedEntryLifetime
-	if recent && !outageEnd.IsZero() && !entry.Leaving && r.keptUntil[id].IsZero() {
-		r.keptUntil[id] = outageEnd.Add(lapsedEntryLifetime)
+	if recent && !outageEnd.IsZero() && !entry.Leaving && r.retainedUntil[id].IsZero() {
+		r.retainedUntil[id] = outageEnd.Add(lapsedEntryLifetime)
 		return
 	}
 	r.removeEntry(id)
@@ -210,7 +210,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var gone []string
-	for id, until := range r.keptUntil {
+	for id, until := range r.retainedUntil {
 		if r.now().Before(until) {
 			continue
 		}
--- a/pkg/router/ledger.go
+++ b/pkg/router/ledger.go
@@ -16,8 +16,8 @@
 // ledgerKind is the kind of the ledger's objects.
 const ledgerKind = "ledgers"
 
-// maxLedgerRetryPause bounds the growing pause between two tries of one change of the ledger.
-const maxLedgerRetryPause = 16 * time.Millisecond
+// maxLedgerRetryInterval bounds the growing pause between two tries of one change of the ledger.
+const maxLedgerRetryInterval = 16 * time.Millisecond
 
 // ledger caches the newest known state of each shard, so that a change usually
 // takes one call: the write itself, which returns the current state on a conflict. Each era of the
@@ -44,7 +44,7 @@
 	defer cache.mu.Unlock()
 	var err error
 	for try := range tries {
-		if try > 0 && !pause.For(ctx, rand.N(min(time.Millisecond<<try, maxLedgerRetryPause))) {
+		if try > 0 && !pause.For(ctx, rand.N(min(time.Millisecond<<try, maxLedgerRetryInterval))) {
 			return errors.Join(ctx.Err(), err)
 		}
 		if err = l.tryUpdate(ctx, shard, cache, change); err == nil {
