--- a/pkg/budget/grant.go
+++ b/pkg/budget/grant.go
@@ -5,7 +5,7 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// spenderState is what a holder knows of one spender's lot. All counters only
+// spenderState is a holder's state for one spender's lot. All counters only
 // increase.
 type spenderState struct {
 	seq       uint64
--- a/pkg/budget/holder.go
+++ b/pkg/budget/holder.go
@@ -7,7 +7,7 @@
 	"github.com/lavenderring/lavenderring/pkg/budget/budgetpb"
 )
 
-// heldBudget is what a holder has of one budget: at most one open grant.
+// heldBudget is a holder's state for one budget: at most one open grant.
 type heldBudget struct {
 	openGrant *grant
 	refillMu  sync.Mutex // allows one refill of the budget at a time
--- a/pkg/budget/lot.go
+++ b/pkg/budget/lot.go
@@ -26,7 +26,7 @@
 // finished reports whether the lot has no tokens left to spend, settle or report.
 func (l *lot) finished() bool { return l.free() == 0 && l.reserved == 0 && !l.unreported() }
 
-// balance is what a spender holds of one budget.
+// balance is a spender's state for one budget.
 type balance struct {
 	lots       []*lot
 	seq        uint64
--- a/pkg/budget/spender.go
+++ b/pkg/budget/spender.go
@@ -98,7 +98,7 @@
 	return b
 }
 
-// shortfall is what a spender requests from a holder.
+// shortfall describes a spender's request to a holder.
 type shortfall struct {
 	seq   uint64
 	need  int64
--- a/pkg/budget/witness.go
+++ b/pkg/budget/witness.go
@@ -8,7 +8,7 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// signedGrant is what a witness knows of a grant that it countersigns.
+// signedGrant is a witness's state for a grant that it countersigns.
 type signedGrant struct {
 	id, budget, holder string
 	signed             int64
--- a/pkg/dispatch/emptied_test.go
+++ b/pkg/dispatch/emptied_test.go
@@ -28,7 +28,7 @@
 		waiting = p.numAhead(false)
 		p.mu.Unlock()
 	}
-	p.SetEmptied([]string{"a"})
+	p.SetEmptiedDomains([]string{"a"})
 	var overload *OverloadError
 	if err := <-refused; !errors.As(err, &overload) {
 		t.Errorf("got %v, want an OverloadError", err)
@@ -37,7 +37,7 @@
 		t.Error("the lease is still in service after its domain was emptied")
 	}
 	lease.Done(Result{Load: -1})
-	p.SetEmptied(nil)
+	p.SetEmptiedDomains(nil)
 	if _, err := p.Acquire(t.Context(), req); err != nil {
 		t.Errorf("after the domain was restored: %v", err)
 	}
--- a/pkg/dispatch/picker.go
+++ b/pkg/dispatch/picker.go
@@ -46,7 +46,7 @@
 	serviceTimeSmoothing = 0.1
 )
 
-// upstreamState is what this instance knows about one upstream.
+// upstreamState is this instance's state for one upstream.
 type upstreamState struct {
 	upstream            document.Upstream
 	inFlight            int
@@ -126,8 +126,8 @@
 	p.refresh()
 }
 
-// SetEmptied replaces the set of emptied failure domains, whose upstreams get no new requests.
-func (p *Pool) SetEmptied(domains []string) {
+// SetEmptiedDomains replaces the set of emptied failure domains, whose upstreams get no new requests.
+func (p *Pool) SetEmptiedDomains(domains []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.emptied = map[string]bool{}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -147,13 +147,13 @@
 	}
 }
 
-// SetEmptied sets the failure domains whose upstreams get no new requests.
-func (e *Entry) SetEmptied(domains []string) {
+// SetEmptiedDomains sets the failure domains whose upstreams get no new requests.
+func (e *Entry) SetEmptiedDomains(domains []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.emptiedDomains = domains
 	for _, p := range e.pools {
-		p.SetEmptied(domains)
+		p.SetEmptiedDomains(domains)
 	}
 }
 
@@ -164,7 +164,7 @@
 	p := e.pools[key]
 	if p == nil {
 		p = dispatch.NewPool(e.Domain, e.Now)
-		p.SetEmptied(e.emptiedDomains)
+		p.SetEmptiedDomains(e.emptiedDomains)
 		e.pools[key] = p
 	}
 	return p
--- a/pkg/forward/forwarder.go
+++ b/pkg/forward/forwarder.go
@@ -127,7 +127,7 @@
 	return stop != nil && f.Now().Sub(stop.beganAt) > stopAcceptPeriod && deadline.After(stop.endsAt)
 }
 
-// serviceState is what an instance keeps of one service.
+// serviceState is this instance's state for one service.
 type serviceState struct {
 	pool  *placement.Pool
 	limit *retrylimit.Limit
@@ -207,7 +207,7 @@
 
 // noUpstreamRetryAfter returns when a client may come back if no upstream is in service.
 func (f *Forwarder) noUpstreamRetryAfter() time.Duration {
-	if len(f.Registry.Emptied()) > 0 {
+	if len(f.Registry.EmptiedDomains()) > 0 {
 		return emptiedRetryAfter
 	}
 	return defaultRetryAfter
--- a/pkg/forward/prefill.go
+++ b/pkg/forward/prefill.go
@@ -6,21 +6,21 @@
 	"github.com/lavenderring/lavenderring/pkg/placement"
 )
 
-// PrefillStats returns, by service, what this instance has measured of the engines' prefill.
+// PrefillStats returns, by service, this instance's statistics of the engines' prefill.
 func (f *Forwarder) PrefillStats() map[string]placement.PrefillStats {
 	out := map[string]placement.PrefillStats{}
 	for name, s := range f.cloneServices() {
-		if reading := s.pool.PrefillStats(); reading.Answers > 0 {
-			out[name] = reading
+		if stats := s.pool.PrefillStats(); stats.Answers > 0 {
+			out[name] = stats
 		}
 	}
 	return out
 }
 
-// RecordPeerStats records what the instance named from has measured of a service's engines.
-func (f *Forwarder) RecordPeerStats(from, service string, reading placement.PrefillStats) {
+// RecordPeerStats records the prefill statistics of the instance named from for a service.
+func (f *Forwarder) RecordPeerStats(from, service string, stats placement.PrefillStats) {
 	if s := f.cloneServices()[service]; s != nil {
-		s.pool.RecordPeerStats(from, reading)
+		s.pool.RecordPeerStats(from, stats)
 	}
 }
 
--- a/pkg/instance/domains.go
+++ b/pkg/instance/domains.go
@@ -9,7 +9,7 @@
 
 // onEmptiedDomains applies a change of the emptied domains and logs it.
 func (i *Instance) onEmptiedDomains(before, now configsync.EmptiedDomains) {
-	i.entry.SetEmptied(now.Domains)
+	i.entry.SetEmptiedDomains(now.Domains)
 	for _, domain := range now.Domains {
 		if !slices.Contains(before.Domains, domain) {
 			i.log.Event(eventlog.DomainEmptied, "", eventlog.Fields{"domain": domain, "generation": now.Generation})
--- a/pkg/instance/run.go
+++ b/pkg/instance/run.go
@@ -34,7 +34,7 @@
 }
 
 // awaitConfig waits until the configuration has been loaded from the store or,
-// while the store is down, from any reachable peer. It reports false if ctx ended
+// while the store is unavailable, from any reachable peer. It reports false if ctx ended
 // first.
 func (i *Instance) awaitConfig(ctx context.Context) bool {
 	for ctx.Err() == nil {
--- a/pkg/member/gossip.go
+++ b/pkg/member/gossip.go
@@ -35,10 +35,10 @@
 	// Generations returns the configuration generation of each service at this instance; it may be
 	// nil.
 	Generations func() []*memberpb.ServiceGeneration
-	// Readings returns what this instance has measured of the services' engines; OnReadings
-	// receives the measurements of another instance, by its name. Both may be nil.
-	Readings   func() []*memberpb.Reading
-	OnReadings func(from string, readings []*memberpb.Reading)
+	// PrefillStats returns this instance's statistics of the services' engines; OnPrefillStats
+	// receives the statistics of another instance, by its name. Both may be nil.
+	PrefillStats   func() []*memberpb.Reading
+	OnPrefillStats func(from string, stats []*memberpb.Reading)
 	// Era returns the latest era of the store that this instance knows; OnEra receives the one
 	// that another instance knows. Both may be nil.
 	Era   func() uint64
@@ -75,8 +75,8 @@
 	if g.Quarantine != nil {
 		d.QuarantineHash, d.QuarantineStored = g.Quarantine.Hash()
 	}
-	if g.Readings != nil {
-		d.Readings = g.Readings()
+	if g.PrefillStats != nil {
+		d.Readings = g.PrefillStats()
 	}
 	return d
 }
@@ -120,8 +120,8 @@
 	if g.Quarantine != nil && d.From != nil {
 		g.Quarantine.ReceiveHash(d.From.PeerAddress, d.QuarantineHash, d.QuarantineStored)
 	}
-	if g.OnReadings != nil && d.From != nil && len(d.Readings) > 0 {
-		g.OnReadings(d.From.Name, d.Readings)
+	if g.OnPrefillStats != nil && d.From != nil && len(d.Readings) > 0 {
+		g.OnPrefillStats(d.From.Name, d.Readings)
 	}
 	own := map[string]uint64{}
 	for _, generation := range g.generations() {
--- a/pkg/placement/upstream.go
+++ b/pkg/placement/upstream.go
@@ -31,7 +31,7 @@
 	maxAvoidInterval = 4 * time.Second
 )
 
-// upstreamState is what this instance knows about one upstream.
+// upstreamState is this instance's state for one upstream.
 type upstreamState struct {
 	registry.Upstream
 	// inFlight is the number of this instance's requests at the upstream.
--- a/pkg/prepaid/balance.go
+++ b/pkg/prepaid/balance.go
@@ -21,7 +21,7 @@
 	surplusDivisor = 4
 )
 
-// balance is what one instance holds of one budget. Invariant: free + reserved + spent + lent +
+// balance is an instance's state for one budget. Invariant: free + reserved + spent + lent +
 // counter.Returned = counter.Drawn + borrowed. Tokens are deducted from free before any message or
 // write that moves them is sent.
 type balance struct {
--- a/pkg/prepaid/drawer.go
+++ b/pkg/prepaid/drawer.go
@@ -48,7 +48,7 @@
 	maxUnsolicited = 64
 )
 
-// requester is what a drawer knows of one instance that it draws for. The totals only grow, so a
+// requester is a drawer's state for one instance that it draws for. The totals only grow, so a
 // lost or duplicated message changes nothing.
 type requester struct {
 	reportedAt time.Time
--- a/pkg/prepaid/drawer_test.go
+++ b/pkg/prepaid/drawer_test.go
@@ -201,8 +201,8 @@
 		f := newFleet(13, instances, map[string]int64{account: 10_000_000})
 		f.notJoined, f.storeDown = true, true
 		f.runLoad(t, steps)
-		if most := instances * steps / 2; f.tries > most {
-			t.Errorf("%d attempts in %d half seconds, %d allowed", f.tries, steps, most)
+		if maxTries := instances * steps / 2; f.tries > maxTries {
+			t.Errorf("%d attempts in %d half seconds, %d allowed", f.tries, steps, maxTries)
 		}
 		f.notJoined, f.storeDown = false, false
 		f.drawers = []string{"i0", "i1"}
@@ -365,12 +365,12 @@
 			m.storePartitioned = true
 		}
 		f.tick()
-		most := int64(0)
+		maxFree := int64(0)
 		for _, m := range f.nodes[1:] {
-			most = max(most, m.Free(account))
+			maxFree = max(maxFree, m.Free(account))
 		}
-		if !spend(t, f.nodes[23], most+most/2) {
-			t.Errorf("refused; one instance holds at most %d", most)
+		if !spend(t, f.nodes[23], maxFree+maxFree/2) {
+			t.Errorf("refused; one instance holds at most %d", maxFree)
 		}
 	})
 }
--- a/pkg/prepaid/fake_test.go
+++ b/pkg/prepaid/fake_test.go
@@ -423,7 +423,7 @@
 	}
 }
 
-// witnessesOf returns who has seen that a writer has drawn that much of a budget.
+// witnessesOf returns the instances that have seen that a writer has drawn that much of a budget.
 func (f *fleet) witnessesOf(writer, budget string, drawn int64) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/prepaid/merge.go
+++ b/pkg/prepaid/merge.go
@@ -15,7 +15,7 @@
 	s.Era, s.Unsettled, s.Reported = era, true, nil
 }
 
-// Row is what an instance knows of one writer's counters.
+// Row holds one writer's counters as far as an instance knows them.
 type Row struct {
 	Counters map[string]Counter
 	// Own says that the writer itself reports the row. A higher returned count frees tokens, so it
--- a/pkg/prepaid/recovery.go
+++ b/pkg/prepaid/recovery.go
@@ -54,7 +54,7 @@
 	ackedBy             string
 }
 
-// reportedRow is what was reported of one writer's row; serial orders the reports.
+// reportedRow is one writer's row as other instances reported it; serial orders the reports.
 type reportedRow struct {
 	Row
 	serial int
--- a/pkg/quarantine/ending.go
+++ b/pkg/quarantine/ending.go
@@ -47,7 +47,7 @@
 	)
 }
 
-// ending is what is known about an upstream that ended a connection before its answer was complete.
+// ending records that an upstream ended a connection before its answer was complete.
 // It is undecided until it is found to be a crash or refuted.
 type ending struct {
 	// At is when the ending was observed, by this instance's clock.
--- a/pkg/quarantine/keeper/verdicts.go
+++ b/pkg/quarantine/keeper/verdicts.go
@@ -33,7 +33,7 @@
 	Records []byte `json:"records"`
 }
 
-// requestStore makes Run store the verdicts. If the ring is full, an earlier request is still waiting.
+// requestStore makes Run store the verdicts. If the queue is full, an earlier request is still waiting.
 func (k *Keeper) requestStore() { k.storeRequests.TryPut(struct{}{}) }
 
 // storeVerdicts merges what this instance knows into the stored object. Since writes merge, it does not
--- a/pkg/quarantine/spread.go
+++ b/pkg/quarantine/spread.go
@@ -86,7 +86,7 @@
 // equal or has been merged with it.
 func (s *Spreader) Compared() bool { return s.compared.Load() }
 
-// wake makes Run push the pending records. If the ring is full, Run has yet to handle an earlier wakeup.
+// wake makes Run push the pending records. If the queue is full, Run has yet to handle an earlier wakeup.
 func (s *Spreader) wake() { s.wakeups.TryPut(struct{}{}) }
 
 // Run pushes pending records and exchanges differing tables until ctx ends.
@@ -140,7 +140,7 @@
 		return
 	}
 	if s.tryStartCompare() {
-		s.differing.TryPut(address) // if the ring is full, another instance is compared first
+		s.differing.TryPut(address) // if the queue is full, another instance is compared first
 	}
 }
 
--- a/pkg/registry/emptied.go
+++ b/pkg/registry/emptied.go
@@ -30,9 +30,9 @@
 	Emptied bool
 }
 
-// ReplaceEmptied replaces the emptied domains by the full list at a position. A list older than the
+// ReplaceEmptiedDomains replaces the emptied domains by the full list at a position. A list older than the
 // present one is ignored.
-func (r *Registry) ReplaceEmptied(domains []string, position store.Position) {
+func (r *Registry) ReplaceEmptiedDomains(domains []string, position store.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := &r.emptied
@@ -47,24 +47,24 @@
 		case newEra:
 			e.retainedUntil[domain] = r.now().Add(lostEmptiedLifetime)
 		default:
-			r.restoreUnlessRetained(domain)
+			r.restoreDomainUnlessRetained(domain)
 		}
 	}
 	for _, domain := range domains {
-		r.empty(domain)
+		r.emptyDomain(domain)
 	}
 	r.invalidateIndex()
 }
 
-// Empty takes a domain's upstreams out of service until Restore is called.
-func (r *Registry) Empty(domain string) {
+// EmptyDomain takes a domain's upstreams out of service until RestoreDomain is called.
+func (r *Registry) EmptyDomain(domain string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.empty(domain)
+	r.emptyDomain(domain)
 	r.invalidateIndex()
 }
 
-func (r *Registry) empty(domain string) {
+func (r *Registry) emptyDomain(domain string) {
 	delete(r.emptied.retainedUntil, domain)
 	if r.emptied.domains[domain] {
 		return
@@ -73,15 +73,15 @@
 	r.emptied.changes = append(r.emptied.changes, DomainChange{Domain: domain, Emptied: true})
 }
 
-// Restore puts a domain's upstreams back into service.
-func (r *Registry) Restore(domain string) {
+// RestoreDomain puts a domain's upstreams back into service.
+func (r *Registry) RestoreDomain(domain string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.restore(domain)
+	r.restoreDomain(domain)
 	r.invalidateIndex()
 }
 
-func (r *Registry) restore(domain string) {
+func (r *Registry) restoreDomain(domain string) {
 	delete(r.emptied.retainedUntil, domain)
 	if !r.emptied.domains[domain] {
 		return
@@ -90,30 +90,30 @@
 	r.emptied.changes = append(r.emptied.changes, DomainChange{Domain: domain})
 }
 
-// restoreUnlessRetained restores a domain that the store does not list, unless its time in
+// restoreDomainUnlessRetained restores a domain that the store does not list, unless its time in
 // retainedUntil has not passed yet; r.mu is held.
-func (r *Registry) restoreUnlessRetained(domain string) {
+func (r *Registry) restoreDomainUnlessRetained(domain string) {
 	if until, held := r.emptied.retainedUntil[domain]; !held || !r.now().Before(until) {
-		r.restore(domain)
+		r.restoreDomain(domain)
 	}
 }
 
-// AdvanceEmptiedTo records that every change of the emptied domains up to a position has been
+// AdvanceEmptiedDomainsTo records that every change of the emptied domains up to a position has been
 // applied.
-func (r *Registry) AdvanceEmptiedTo(position store.Position) {
+func (r *Registry) AdvanceEmptiedDomainsTo(position store.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.emptied.position = store.Later(r.emptied.position, position)
 }
 
-// ExpireEmptied restores the domains that the store lost in a rollback and that were not emptied again in
-// time, and reports whether there were any.
-func (r *Registry) ExpireEmptied() (restored bool) {
+// ExpireEmptiedDomains restores the domains that the store lost in a rollback and that were not
+// emptied again in time, and reports whether there were any.
+func (r *Registry) ExpireEmptiedDomains() (restored bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for domain, until := range r.emptied.retainedUntil {
 		if !r.now().Before(until) {
-			r.restore(domain)
+			r.restoreDomain(domain)
 			restored = true
 		}
 	}
@@ -123,15 +123,15 @@
 	return restored
 }
 
-// SyncedEmptied reports whether the full list of emptied domains has been read at least once.
-func (r *Registry) SyncedEmptied() bool {
+// SyncedEmptiedDomains reports whether the full list of emptied domains has been read at least once.
+func (r *Registry) SyncedEmptiedDomains() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.emptied.position.IsZero()
 }
 
-// Emptied returns the emptied domains in sorted order.
-func (r *Registry) Emptied() []string {
+// EmptiedDomains returns the emptied domains in sorted order.
+func (r *Registry) EmptiedDomains() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Sorted(maps.Keys(r.emptied.domains))
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -100,7 +100,7 @@
 	}
 	for id := range r.entries {
 		if !present[id] {
-			r.removeOrKeep(id)
+			r.removeOrRetain(id)
 		}
 	}
 	r.invalidateIndex()
@@ -132,7 +132,7 @@
 func (r *Registry) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.removeOrKeep(id)
+	r.removeOrRetain(id)
 	r.invalidateIndex()
 }
 
@@ -182,10 +182,10 @@
 	return left
 }
 
-// removeOrKeep removes an entry, or keeps it for a while if it may only have lapsed because the store
-// was unreachable: otherwise all upstreams would be removed at the end of each outage, and every
+// removeOrRetain removes an entry, or retains it for a while if it may only have lapsed because the
+// store was unavailable: otherwise all upstreams would be removed at the end of each outage, and every
 // request refused. r.mu is held.
-func (r *Registry) removeOrKeep(id string) {
+func (r *Registry) removeOrRetain(id string) {
 	entry, known := r.entries[id]
 	if !known {
 		return
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -193,18 +193,18 @@
 func TestEmptiedDomainIsOutUntilItIsRestored(t *testing.T) {
 	r := New(time.Now)
 	r.Replace([]Upstream{{ID: "a", Service: "s", Domain: "x"}, {ID: "b", Service: "s", Domain: "y"}}, store.At(1))
-	r.ReplaceEmptied(nil, store.At(1))
-	r.Empty("x")
+	r.ReplaceEmptiedDomains(nil, store.At(1))
+	r.EmptyDomain("x")
 	r.Put(Upstream{ID: "c", Service: "s", Domain: "x"})
 	if got := inService(r); got != "b" {
 		t.Errorf("in service: %s", got)
 	}
-	r.ReplaceEmptied([]string{"x"}, store.At(4))
-	r.ReplaceEmptied(nil, store.At(3)) // an older list
+	r.ReplaceEmptiedDomains([]string{"x"}, store.At(4))
+	r.ReplaceEmptiedDomains(nil, store.At(3)) // an older list
 	if got := inService(r); got != "b" {
 		t.Errorf("in service after a list: %s", got)
 	}
-	r.Restore("x")
+	r.RestoreDomain("x")
 	if got := inService(r); got != "abc" {
 		t.Errorf("in service after the domain was restored: %s", got)
 	}
@@ -218,15 +218,15 @@
 func TestEmptiedDomainStaysOutWhenTheStoreGoesBack(t *testing.T) {
 	r, c := newTestRegistry()
 	r.Replace([]Upstream{{ID: "a", Service: "s", Domain: "x"}, {ID: "b", Service: "s", Domain: "y"}}, store.At(6))
-	r.ReplaceEmptied([]string{"x", "y"}, store.At(6))
-	r.ReplaceEmptied([]string{"x"}, store.Position{Era: 2, Version: 3})
-	r.ReplaceEmptied([]string{"x"}, store.Position{Era: 2, Version: 4})
-	r.ExpireEmptied()
+	r.ReplaceEmptiedDomains([]string{"x", "y"}, store.At(6))
+	r.ReplaceEmptiedDomains([]string{"x"}, store.Position{Era: 2, Version: 3})
+	r.ReplaceEmptiedDomains([]string{"x"}, store.Position{Era: 2, Version: 4})
+	r.ExpireEmptiedDomains()
 	if got := inService(r); got != "" {
 		t.Errorf("in service: %s", got)
 	}
 	c.advance(lostEmptiedLifetime)
-	r.ExpireEmptied()
+	r.ExpireEmptiedDomains()
 	if got := inService(r); got != "b" {
 		t.Errorf("in service after the lost domain expired: %s", got)
 	}
--- a/pkg/router/background.go
+++ b/pkg/router/background.go
@@ -59,7 +59,7 @@
 // awaitSync waits for a configuration, the upstreams and the emptied domains; it reports false if ctx
 // ended first.
 func (r *Router) awaitSync(ctx context.Context) bool {
-	for r.config.Table() == nil || !r.registry.Synced() || !r.registry.SyncedEmptied() {
+	for r.config.Table() == nil || !r.registry.Synced() || !r.registry.SyncedEmptiedDomains() {
 		if !pause.For(ctx, syncCheckInterval) {
 			return false
 		}
@@ -104,8 +104,8 @@
 	})
 }
 
-// applyConfig puts a configuration into force if it is newer.
-func (r *Router) applyConfig(config *routing.Config) {
+// onConfig puts a configuration into force if it is newer.
+func (r *Router) onConfig(config *routing.Config) {
 	if !r.config.Apply(config, time.Now()) {
 		return
 	}
@@ -115,8 +115,8 @@
 	})
 }
 
-// upstreamsChanged passes the registry's upstreams on to the pools.
-func (r *Router) upstreamsChanged() {
+// onUpstreams passes the registry's upstreams on to the pools.
+func (r *Router) onUpstreams() {
 	for _, address := range r.registry.TakeRestarted() {
 		r.conns.CloseIdle(address)
 	}
@@ -150,8 +150,8 @@
 	for name, follower := range r.followers {
 		r.ageMonitor.Check(name, follower)
 	}
-	if r.registry.ExpireEmptied() {
-		r.domainsChanged()
+	if r.registry.ExpireEmptiedDomains() {
+		r.onEmptiedDomains()
 	}
 	if gone := r.registry.Expire(); len(gone) > 0 {
 		for _, address := range gone {
@@ -174,7 +174,7 @@
 	if age, known := r.eraAge(); known {
 		fields["store_era"], fields["store_era_age_s"] = r.storeEra.Load(), int64(age.Seconds())
 	}
-	if domains := r.registry.Emptied(); len(domains) > 0 {
+	if domains := r.registry.EmptiedDomains(); len(domains) > 0 {
 		fields["emptied_domains"] = domains
 	}
 	if watched := r.quarantine.Summary(); watched.Suspected+watched.Condemned > 0 {
--- a/pkg/router/domains.go
+++ b/pkg/router/domains.go
@@ -2,8 +2,8 @@
 
 import "github.com/lavenderring/lavenderring/pkg/eventlog"
 
-// domainsChanged passes emptied and restored failure domains on to the pools and logs them.
-func (r *Router) domainsChanged() {
+// onEmptiedDomains passes emptied and restored failure domains on to the pools and logs them.
+func (r *Router) onEmptiedDomains() {
 	r.forward.Update()
 	for _, change := range r.registry.TakeDomainChanges() {
 		fields := eventlog.Fields{"domain": change.Domain}
--- a/pkg/router/followers.go
+++ b/pkg/router/followers.go
@@ -28,10 +28,10 @@
 	reject := func(err error) {
 		r.log.Event(eventlog.ConfigRejected, "", eventlog.Fields{"cause": err.Error()})
 	}
-	config := r.platform.NewConfigFollower(r.store, r.applyConfig, reject)
-	upstreams := r.platform.NewUpstreamFollower(r.store, r.registry, r.upstreamsChanged, reject)
+	config := r.platform.NewConfigFollower(r.store, r.onConfig, reject)
+	upstreams := r.platform.NewUpstreamFollower(r.store, r.registry, r.onUpstreams, reject)
 	upstreams.OnOutageEnded = r.registry.NoteOutageEnd
-	emptied := r.platform.NewEmptiedFollower(r.store, r.registry, r.domainsChanged)
+	emptied := r.platform.NewEmptiedFollower(r.store, r.registry, r.onEmptiedDomains)
 	if bound := r.settings.EmptyingBound(); bound > r.settings.ChangeBound() {
 		emptied.Timing = follow.RelaxedTimingFor(bound)
 	}
--- a/pkg/router/members.go
+++ b/pkg/router/members.go
@@ -7,7 +7,7 @@
 	"github.com/lavenderring/lavenderring/pkg/placement"
 )
 
-// prefillStats returns what this instance has measured of the engines' prefill.
+// prefillStats returns this instance's prefill statistics of the services' engines.
 func (r *Router) prefillStats() []*memberpb.Reading {
 	var out []*memberpb.Reading
 	for service, stats := range r.forward.PrefillStats() {
@@ -22,9 +22,9 @@
 	return out
 }
 
-// recordPrefillStats records what another instance has measured.
-func (r *Router) recordPrefillStats(from string, readings []*memberpb.Reading) {
-	for _, m := range readings {
+// recordPeerStats records the prefill statistics of another instance.
+func (r *Router) recordPeerStats(from string, stats []*memberpb.Reading) {
+	for _, m := range stats {
 		r.forward.RecordPeerStats(from, m.Service, placement.PrefillStats{
 			TokensPerSecond: m.TokensPerSecond,
 			Answers:         m.Answers,
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -174,13 +174,13 @@
 		Now:      time.Now,
 	})
 	r.gossip = &member.Gossip{
-		Table:      r.table,
-		Send:       r.peers.Heartbeat,
-		Probe:      r.peers.Probe,
-		Readings:   r.prefillStats,
-		OnReadings: r.recordPrefillStats,
-		Era:        r.storeEra.Load,
-		OnEra:      func(era uint64) { r.tokens.NotePeerEra(era) },
+		Table:          r.table,
+		Send:           r.peers.Heartbeat,
+		Probe:          r.peers.Probe,
+		PrefillStats:   r.prefillStats,
+		OnPrefillStats: r.recordPeerStats,
+		Era:            r.storeEra.Load,
+		OnEra:          func(era uint64) { r.tokens.NotePeerEra(era) },
 
 		Quarantine: r.quarantine,
 	}
