--- a/pkg/forward/call.go
+++ b/pkg/forward/call.go
@@ -165,7 +165,7 @@
 )
 
 // mayRetry reports whether another upstream may be tried. A request that is not idempotent
-// is sent again only if it certainly ran in none of its attempts.
+// is retried only if it certainly ran in none of its attempts.
 func (c *call) mayRetry(last *failure) bool {
 	if last.noRetry || c.numSent >= c.route.MaxAttempts || c.remaining() <= minAttemptTime {
 		return false
--- a/pkg/forward/forwarder.go
+++ b/pkg/forward/forwarder.go
@@ -83,7 +83,7 @@
 	// Overload limits the requests accepted while this instance's network link is saturated; nil
 	// for no limit.
 	Overload *overload.Limit
-	// Retries limits the requests that are sent again; NumInstances returns how many instances
+	// Retries limits the requests that are retried; NumInstances returns how many instances
 	// share the limit.
 	Retries      retrylimit.Settings
 	NumInstances func() int
--- a/pkg/prepaid/shard.go
+++ b/pkg/prepaid/shard.go
@@ -28,7 +28,7 @@
 // Free returns the tokens that may be drawn; negative after a reduction of Prepaid.
 func (b Budget) Free() int64 { return b.Prepaid - b.Granted }
 
-// Counter counts the tokens that one incarnation moved of one budget. Both only grow, so retrying a
+// Counter counts the tokens that one incarnation moved of one budget. They only grow, so retrying a
 // write after a lost answer changes nothing, and by reading its counter a writer finds out whether
 // such a write took effect.
 type Counter struct {
