--- a/pkg/budget/holder.go
+++ b/pkg/budget/holder.go
@@ -7,7 +7,7 @@
 	"github.com/lavenderring/lavenderring/pkg/budget/budgetpb"
 )
 
-// heldBudget is what a holder has of one budget: at most one open grant.
+// heldBudget is a holder's state for one budget: at most one open grant.
 type heldBudget struct {
 	openGrant *grant
 	refillMu  sync.Mutex // allows one refill of the budget at a time
@@ -42,7 +42,7 @@
 
 // allocate allocates signed tokens to a spender: the whole need, if that many are
 // allocatable, and some of what the spender wants ahead. It allocates only once
-// for each seq, so a request repeated after a lost answer returns the same lots.
+// for each seq, so a request retried after a lost answer returns the same lots.
 func (h *Holder) allocate(req *budgetpb.AllocateRequest) *budgetpb.AllocateReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/forward/forwarder.go
+++ b/pkg/forward/forwarder.go
@@ -28,7 +28,7 @@
 	// than on waiting for one that does not answer.
 	reserveTimeout = 400 * time.Millisecond
 	// defaultRetryAfter applies to refusals that another instance, or this one a moment
-	// later, may not repeat.
+	// later, may not make again.
 	defaultRetryAfter = 150 * time.Millisecond
 	// outageRetryAfter applies if the instance reaches neither the ledger nor a lender, or
 	// has no configuration while the store is unavailable: half of the longest outage for
@@ -83,7 +83,7 @@
 	// Overload limits the requests accepted while this instance's network link is saturated; nil
 	// for no limit.
 	Overload *overload.Limit
-	// Retries limits the requests that are sent again; NumInstances returns how many instances
+	// Retries limits the requests that are retried; NumInstances returns how many instances
 	// share the limit.
 	Retries      retrylimit.Settings
 	NumInstances func() int
@@ -127,7 +127,7 @@
 	return stop != nil && f.Now().Sub(stop.beganAt) > stopAcceptPeriod && deadline.After(stop.endsAt)
 }
 
-// serviceState is what an instance keeps of one service.
+// serviceState is this instance's state for one service.
 type serviceState struct {
 	pool  *placement.Pool
 	limit *retrylimit.Limit
@@ -207,7 +207,7 @@
 
 // noUpstreamRetryAfter returns when a client may come back if no upstream is in service.
 func (f *Forwarder) noUpstreamRetryAfter() time.Duration {
-	if len(f.Registry.Emptied()) > 0 {
+	if len(f.Registry.EmptiedDomains()) > 0 {
 		return emptiedRetryAfter
 	}
 	return defaultRetryAfter
--- a/pkg/member/gossip.go
+++ b/pkg/member/gossip.go
@@ -21,8 +21,8 @@
 	// Hash returns a hash that is equal for equal tables; stored reports that the table includes
 	// everything that the store holds.
 	Hash() (hash uint64, stored bool)
-	// Heard records the hash and stored flag that the instance at an address sent.
-	Heard(address string, hash uint64, stored bool)
+	// ReceiveHash records the hash and stored flag that the instance at an address sent.
+	ReceiveHash(address string, hash uint64, stored bool)
 }
 
 // Gossip exchanges digests with other instances and applies what they contain.
@@ -35,10 +35,10 @@
 	// Generations returns the configuration generation of each service at this instance; it may be
 	// nil.
 	Generations func() []*memberpb.ServiceGeneration
-	// Readings returns what this instance has measured of the services' engines; OnReadings
-	// receives the measurements of another instance, by its name. Both may be nil.
-	Readings   func() []*memberpb.Reading
-	OnReadings func(from string, readings []*memberpb.Reading)
+	// PrefillStats returns this instance's statistics of the services' engines; OnPrefillStats
+	// receives the statistics of another instance, by its name. Both may be nil.
+	PrefillStats   func() []*memberpb.Reading
+	OnPrefillStats func(from string, stats []*memberpb.Reading)
 	// Era returns the latest era of the store that this instance knows; OnEra receives the one
 	// that another instance knows. Both may be nil.
 	Era   func() uint64
@@ -75,8 +75,8 @@
 	if g.Quarantine != nil {
 		d.QuarantineHash, d.QuarantineStored = g.Quarantine.Hash()
 	}
-	if g.Readings != nil {
-		d.Readings = g.Readings()
+	if g.PrefillStats != nil {
+		d.Readings = g.PrefillStats()
 	}
 	return d
 }
@@ -109,7 +109,7 @@
 // Merge applies a received digest and returns the services for which the sender has a higher
 // generation.
 func (g *Gossip) Merge(d *memberpb.Digest) (newer []string) {
-	g.Table.LearnFullTable(d.Table)
+	g.Table.MergeFullTable(d.Table)
 	g.Table.Learn(d.From, true)
 	for _, m := range d.Known {
 		g.Table.Learn(m, false)
@@ -118,10 +118,10 @@
 		g.OnEra(d.Era)
 	}
 	if g.Quarantine != nil && d.From != nil {
-		g.Quarantine.Heard(d.From.PeerAddress, d.QuarantineHash, d.QuarantineStored)
+		g.Quarantine.ReceiveHash(d.From.PeerAddress, d.QuarantineHash, d.QuarantineStored)
 	}
-	if g.OnReadings != nil && d.From != nil && len(d.Readings) > 0 {
-		g.OnReadings(d.From.Name, d.Readings)
+	if g.OnPrefillStats != nil && d.From != nil && len(d.Readings) > 0 {
+		g.OnPrefillStats(d.From.Name, d.Readings)
 	}
 	own := map[string]uint64{}
 	for _, generation := range g.generations() {
--- a/pkg/prepaid/recovery.go
+++ b/pkg/prepaid/recovery.go
@@ -12,7 +12,7 @@
 
 // How an instance helps to settle a ledger object after a store rollback.
 const (
-	// maxGatherTime is how long a shard waits for instances that share it, seem dead and have not
+	// maxGatherTime is how long a shard waits for instances that share it, are silent and have not
 	// reported: they may be partitioned from the others but still reach the store. After that,
 	// tokens are reserved for what they may hold. A live instance is waited for without limit.
 	maxGatherTime = 2 * time.Second
@@ -54,7 +54,7 @@
 	ackedBy             string
 }
 
-// reportedRow is what was reported of one writer's row; serial orders the reports.
+// reportedRow is one writer's row as other instances reported it; serial orders the reports.
 type reportedRow struct {
 	Row
 	serial int
@@ -81,7 +81,7 @@
 func (n *Node) NoteFirstEra(era uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.era, n.minEra, n.startEra = max(n.era, era), max(n.minEra, era), era
+	n.era, n.minEra, n.firstSeenEra = max(n.era, era), max(n.minEra, era), era
 }
 
 // scheduleReports makes this instance report for every shard, even if it has seen nothing, because
@@ -114,9 +114,9 @@
 // ownRow returns this instance's counters of a shard's budgets; n.mu is held.
 func (n *Node) ownRow(shard int) map[string]Counter {
 	counters := map[string]Counter{}
-	for id, p := range n.positions {
-		if n.ShardOf(id) == shard && p.counter != (Counter{}) {
-			counters[id] = p.counter
+	for id, b := range n.balances {
+		if n.ShardOf(id) == shard && b.counter != (Counter{}) {
+			counters[id] = b.counter
 		}
 	}
 	return counters
@@ -134,7 +134,7 @@
 	}
 	r.mergedSerial = r.serial
 	if !s.Unsettled {
-		if n.startEra < s.Era {
+		if n.firstSeenEra < s.Era {
 			delete(s.Reserves, n.Name) // this write includes the draws that the reserve stood for
 		}
 		return result
@@ -203,7 +203,7 @@
 		}
 		reserve := map[string]int64{}
 		for id, perSecond := range holder.PerSecond {
-			if n.Fleet.SharesBudgets(name) { // one that has been gone for long has not drawn lately
+			if n.Fleet.SharesBudgets(name) { // one that has been silent for long has not drawn lately
 				reserve[id] = int64(float64(perSecond) * unreportedDrawTime.Seconds())
 			}
 		}
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -21,18 +21,18 @@
 	// list.
 	position store.Position
 	entries  map[string]Upstream
-	// keptUntil holds, for entries that are missing after an outage, the time until which they are
-	// kept.
-	keptUntil map[string]time.Time
+	// retainedUntil holds, for entries that are missing after an outage, the time until which they are
+	// retained.
+	retainedUntil map[string]time.Time
 	// outageEndedAt is when the last store outage ended.
 	outageEndedAt time.Time
-	// storeOut says that the store is unreachable for all instances.
-	storeOut  bool
-	byService map[string][]Upstream // in-service upstreams by service, sorted by ID
+	// storeUnavailable says that the store is unavailable to all instances.
+	storeUnavailable bool
+	byService        map[string][]Upstream // in-service upstreams by service, sorted by ID
 	// restarted holds the addresses of upstreams that restarted under the same ID.
 	restarted []string
 	// departures records upstreams that left, by ID. staleEntries holds the positions of entries
-	// that are older in the restored store than what was known before (startEra).
+	// that are older in the store after a rollback than what was known before (noteRollback).
 	departures   map[string]departure
 	staleEntries map[string]store.Position
 	// occupants holds the last incarnation at each address, superseded those that were followed by
@@ -47,37 +47,37 @@
 // New returns an empty registry.
 func New(now func() time.Time) *Registry {
 	return &Registry{
-		now:        now,
-		entries:    map[string]Upstream{},
-		keptUntil:  map[string]time.Time{},
-		byService:  map[string][]Upstream{},
-		departures: map[string]departure{},
+		now:           now,
+		entries:       map[string]Upstream{},
+		retainedUntil: map[string]time.Time{},
+		byService:     map[string][]Upstream{},
+		departures:    map[string]departure{},
 
 		occupants: map[string]occupant{},
 		emptied:   emptiedDomains{domains: map[string]bool{}, retainedUntil: map[string]time.Time{}},
 	}
 }
 
-// OutageStarted records that the store is unreachable for all instances.
-func (r *Registry) OutageStarted() {
+// NoteOutageStart records that the store is unavailable to all instances.
+func (r *Registry) NoteOutageStart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeOut = true
+	r.storeUnavailable = true
 }
 
-// OutageEnded records that an outage of the store for all instances ended some time ago.
-func (r *Registry) OutageEnded(ago time.Duration) {
+// NoteOutageEnd records that an outage of the store for all instances ended some time ago.
+func (r *Registry) NoteOutageEnd(ago time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeOut, r.outageEndedAt = false, r.now().Add(-ago)
+	r.storeUnavailable, r.outageEndedAt = false, r.now().Add(-ago)
 }
 
-// StoreReached records that the store is reachable. It does not count as the end of an outage, since
-// other instances may have reached the store all along.
-func (r *Registry) StoreReached() {
+// NoteStoreAvailable records that the store answers this instance. It does not count as the end of an
+// outage, since other instances may have reached the store all along.
+func (r *Registry) NoteStoreAvailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeOut = false
+	r.storeUnavailable = false
 }
 
 // Replace applies the full list at a position; entries that it lacks are removed, or kept for a
@@ -90,7 +90,7 @@
 		return
 	}
 	if !r.position.IsZero() && position.Era != r.position.Era {
-		r.startEra(list)
+		r.noteRollback(list)
 	}
 	r.position = position
 	present := map[string]bool{}
@@ -100,7 +100,7 @@
 	}
 	for id := range r.entries {
 		if !present[id] {
-			r.removeOrKeep(id)
+			r.removeOrRetain(id)
 		}
 	}
 	r.invalidateIndex()
@@ -124,7 +124,7 @@
 	}
 	r.setOccupant(u)
 	r.entries[u.ID] = u
-	delete(r.keptUntil, u.ID)
+	delete(r.retainedUntil, u.ID)
 }
 
 // Remove removes one entry, or keeps it for a while if it may only have lapsed during an outage of
@@ -132,7 +132,7 @@
 func (r *Registry) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.removeOrKeep(id)
+	r.removeOrRetain(id)
 	r.invalidateIndex()
 }
 
@@ -153,7 +153,7 @@
 		r.markOccupantGone(&entry)
 	}
 	delete(r.entries, id)
-	delete(r.keptUntil, id)
+	delete(r.retainedUntil, id)
 }
 
 // noteLeft records that an upstream gets no new requests, if it was in service; r.mu is held.
@@ -182,24 +182,24 @@
 	return left
 }
 
-// removeOrKeep removes an entry, or keeps it for a while if it may only have lapsed because the store
-// was unreachable: otherwise all upstreams would be removed at the end of each outage, and every
+// removeOrRetain removes an entry, or retains it for a while if it may only have lapsed because the
+// store was unavailable: otherwise all upstreams would be removed at the end of each outage, and every
 // request refused. r.mu is held.
-func (r *Registry) removeOrKeep(id string) {
+func (r *Registry) removeOrRetain(id string) {
 	entry, known := r.entries[id]
 	if !known {
 		return
 	}
-	if until, kept := r.keptUntil[id]; kept && r.now().Before(until) {
+	if until, kept := r.retainedUntil[id]; kept && r.now().Before(until) {
 		return
 	}
 	outageEnd := r.outageEndedAt
-	if r.storeOut { // the first successful read shows that the outage is over
+	if r.storeUnavailable { // the first successful read shows that the outage is over
 		outageEnd = r.now()
 	}
 	recent := r.now().Sub(outageEnd) < lapsedEntryLifetime
-	if recent && !outageEnd.IsZero() && !entry.Leaving && r.keptUntil[id].IsZero() {
-		r.keptUntil[id] = outageEnd.Add(lapsedEntryLifetime)
+	if recent && !outageEnd.IsZero() && !entry.Leaving && r.retainedUntil[id].IsZero() {
+		r.retainedUntil[id] = outageEnd.Add(lapsedEntryLifetime)
 		return
 	}
 	r.removeEntry(id)
@@ -210,7 +210,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var gone []string
-	for id, until := range r.keptUntil {
+	for id, until := range r.retainedUntil {
 		if r.now().Before(until) {
 			continue
 		}
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -35,10 +35,10 @@
 // after the outage is removed.
 func TestLapsedEntriesAreKeptUntilTheyCanBeBack(t *testing.T) {
 	r, c := newTestRegistry()
-	r.OutageStarted()
+	r.NoteOutageStart()
 	c.advance(5 * time.Second)
 	r.Replace(nil, store.At(9))
-	r.OutageEnded(0)
+	r.NoteOutageEnd(0)
 	if got := len(r.InService("s")); got != 2 {
 		t.Fatalf("%d in service after the outage", got)
 	}
@@ -85,7 +85,7 @@
 // one that lapsed: it must be out of service at once.
 func TestDiscardedEntryIsNotKeptAfterAnOutage(t *testing.T) {
 	r, _ := newTestRegistry()
-	r.OutageEnded(0)
+	r.NoteOutageEnd(0)
 	r.Discard("a")
 	if left := r.InService("s"); len(left) != 1 || left[0].ID != "b" {
 		t.Errorf("in service: %v", left)
@@ -111,7 +111,7 @@
 	}
 }
 
-// Guards against requests to an upstream that was leaving or gone before the store was restored from
+// Guards against requests to an upstream that was leaving or gone before the store was rolled back to
 // an older copy that lists it as in service. It stays out of service until it writes its entry again;
 // upstreams whose entries the copy lacks stay in service for the time they need to write them again.
 func TestLeavingStaysLeavingWhenTheStoreGoesBack(t *testing.T) {
@@ -133,10 +133,10 @@
 		}
 		return ids
 	}
-	restored := []Upstream{entry("a", 3), entry("b", 3), entry("c", 3)}
-	r.Replace(restored, store.Position{Era: 2, Version: 4})
+	rolledBack := []Upstream{entry("a", 3), entry("b", 3), entry("c", 3)}
+	r.Replace(rolledBack, store.Position{Era: 2, Version: 4})
 	if got := inService(); got != "cd" {
-		t.Errorf("in service after the store was restored: %s", got)
+		t.Errorf("in service after the store was rolled back: %s", got)
 	}
 	r.Replace([]Upstream{entry("a", 3), entry("b", 3), entry("c", 3), entry("d", 5)}, store.Position{Era: 2, Version: 6})
 	if got := inService(); got != "cd" {
@@ -193,18 +193,18 @@
 func TestEmptiedDomainIsOutUntilItIsRestored(t *testing.T) {
 	r := New(time.Now)
 	r.Replace([]Upstream{{ID: "a", Service: "s", Domain: "x"}, {ID: "b", Service: "s", Domain: "y"}}, store.At(1))
-	r.ReplaceEmptied(nil, store.At(1))
-	r.Empty("x")
+	r.ReplaceEmptiedDomains(nil, store.At(1))
+	r.EmptyDomain("x")
 	r.Put(Upstream{ID: "c", Service: "s", Domain: "x"})
 	if got := inService(r); got != "b" {
 		t.Errorf("in service: %s", got)
 	}
-	r.ReplaceEmptied([]string{"x"}, store.At(4))
-	r.ReplaceEmptied(nil, store.At(3)) // an older list
+	r.ReplaceEmptiedDomains([]string{"x"}, store.At(4))
+	r.ReplaceEmptiedDomains(nil, store.At(3)) // an older list
 	if got := inService(r); got != "b" {
 		t.Errorf("in service after a list: %s", got)
 	}
-	r.Restore("x")
+	r.RestoreDomain("x")
 	if got := inService(r); got != "abc" {
 		t.Errorf("in service after the domain was restored: %s", got)
 	}
@@ -213,20 +213,20 @@
 	}
 }
 
-// Guards against requests to an emptied domain in the seconds after the store was restored from a copy
+// Guards against requests to an emptied domain in the seconds after the store was rolled back to a copy
 // that is older than the operators' change.
 func TestEmptiedDomainStaysOutWhenTheStoreGoesBack(t *testing.T) {
 	r, c := newTestRegistry()
 	r.Replace([]Upstream{{ID: "a", Service: "s", Domain: "x"}, {ID: "b", Service: "s", Domain: "y"}}, store.At(6))
-	r.ReplaceEmptied([]string{"x", "y"}, store.At(6))
-	r.ReplaceEmptied([]string{"x"}, store.Position{Era: 2, Version: 3})
-	r.ReplaceEmptied([]string{"x"}, store.Position{Era: 2, Version: 4})
-	r.ExpireEmptied()
+	r.ReplaceEmptiedDomains([]string{"x", "y"}, store.At(6))
+	r.ReplaceEmptiedDomains([]string{"x"}, store.Position{Era: 2, Version: 3})
+	r.ReplaceEmptiedDomains([]string{"x"}, store.Position{Era: 2, Version: 4})
+	r.ExpireEmptiedDomains()
 	if got := inService(r); got != "" {
 		t.Errorf("in service: %s", got)
 	}
 	c.advance(lostEmptiedLifetime)
-	r.ExpireEmptied()
+	r.ExpireEmptiedDomains()
 	if got := inService(r); got != "b" {
 		t.Errorf("in service after the lost domain expired: %s", got)
 	}
