--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -185,7 +185,7 @@
 // request's deadline if another upstream may still be tried.
 func (a *attempt) headDeadline() time.Time {
 	c := a.c
-	if !c.route.Repeatable() || c.numSent+1 >= c.route.MaxAttempts {
+	if !c.route.Retryable() || c.numSent+1 >= c.route.MaxAttempts {
 		return c.deadline
 	}
 	maxWait := time.Duration(failoverFraction * float64(c.route.Timeout))
--- a/pkg/forward/call.go
+++ b/pkg/forward/call.go
@@ -170,7 +170,7 @@
 	if last.noRetry || c.numSent >= c.route.MaxAttempts || c.remaining() <= minAttemptTime {
 		return false
 	}
-	if c.mayHaveRun && !c.route.Repeatable() {
+	if c.mayHaveRun && !c.route.Retryable() {
 		return false
 	}
 	if last.step == stepDial || last.step == stepBeforeSend {
--- a/pkg/routing/config.go
+++ b/pkg/routing/config.go
@@ -57,7 +57,7 @@
 }
 
 // Retryable reports whether a request that may have run may be retried.
-func (r *Route) Repeatable() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
--- a/pkg/soak/check.go
+++ b/pkg/soak/check.go
@@ -96,7 +96,7 @@
 		if route.Name != s.route {
 			continue
 		}
-		if !route.Repeatable() && len(ran) > 1 {
+		if !route.Retryable() && len(ran) > 1 {
 			r.violate("%s: ran %d times", s, len(ran))
 		}
 		if len(ran) > route.MaxAttempts {
