--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak runs the instance's program as separate processes on this machine under
-// seeded faults and checks its promises. It exits 1 if one was broken.
+// Command soak runs the instance's program as separate processes on this machine, injects
+// seeded faults and checks the guarantees (see package soak). It exits with status 1 if one
+// was violated or a run did not start.
 package main
 
 import (
@@ -30,24 +31,24 @@
 func main() {
 	var a args
 	arg.MustParse(&a)
-	if broken := a.runAll(); broken > 0 {
-		fmt.Printf("%d of %d runs broke a promise or did not run\n", broken, a.Seeds)
+	if failed := a.runAll(); failed > 0 {
+		fmt.Printf("%d of %d runs violated a guarantee or did not start\n", failed, a.Seeds)
 		os.Exit(1)
 	}
 }
 
-// runAll plays the runs and returns how many did not pass.
+// runAll runs all seeds, at most Jobs at once, and returns how many did not pass.
 func (a *args) runAll() int {
 	seeds := make(chan uint64)
 	var mu sync.Mutex
 	var workers sync.WaitGroup
-	broken := 0
+	failed := 0
 	for range max(a.Jobs, 1) {
 		workers.Go(func() {
 			for seed := range seeds {
 				if !a.runOne(seed) {
 					mu.Lock()
-					broken++
+					failed++
 					mu.Unlock()
 				}
 			}
@@ -58,12 +59,13 @@
 	}
 	close(seeds)
 	workers.Wait()
-	return broken
+	return failed
 }
 
+// runOne runs one seed, prints its report and reports whether it passed.
 func (a *args) runOne(seed uint64) bool {
 	opts := soak.Options{
-		Seed: seed, Length: time.Duration(a.Seconds) * time.Second,
+		Seed: seed, Duration: time.Duration(a.Seconds) * time.Second,
 		Instances: a.Instances, Upstreams: a.Upstreams, Clients: a.Clients,
 		Program: a.Program, Dir: filepath.Join(a.Dir, fmt.Sprintf("seed-%d", seed)),
 	}
--- a/pkg/soak/check.go
+++ b/pkg/soak/check.go
@@ -9,126 +9,129 @@
 	"github.com/lavenderring/lavenderring/platform/standin"
 )
 
-// Bounds of what is checked.
+// Bounds of the checks.
 const (
-	// lateSlack is how long after its time limit a request may be answered. It is wide,
-	// for machines that are busy with other things.
-	lateSlack = 5 * time.Second
-	// settleTime is how long after a failure its effects are taken to last: until a
-	// silent connection is found, and a second for the next call.
-	settleTime = 4 * time.Second
-	// runsSettle is how long what was sent may take to show at an upstream.
-	runsSettle = 2 * time.Second
-	// recoverTime is how long the fleet may take to serve all again after the faults.
-	recoverTime = 20 * time.Second
+	// timeoutSlack is how long after its timeout a request may be answered. It is large,
+	// to allow for busy machines.
+	timeoutSlack = 5 * time.Second
+	// faultEffectDuration is how long the effects of a failure may last after its end: the
+	// time in which a silent connection is detected, and one second for the next call.
+	faultEffectDuration = 4 * time.Second
+	// runsVisibleDelay is how long a request that was sent may take to show up at an upstream.
+	runsVisibleDelay = 2 * time.Second
+	// recoveryTimeout is how long the fleet may take to serve all routes after the last fault.
+	recoveryTimeout = 20 * time.Second
 )
 
-// promises are the statuses that say that a request has not run and never will.
-var promises = map[int]bool{
+// notRunStatuses are the statuses by which an instance asserts that a request has not run and
+// never will.
+var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// checkAnswer checks one answer by itself, as soon as it is there.
-func (r *run) checkAnswer(s *sending) {
+// checkAnswer checks one answer on its own, as soon as it has been received.
+func (r *runner) checkAnswer(s *request) {
 	switch {
 	case s.status == http.StatusOK && s.err == nil:
-		if s.answerTo != s.id || !s.sealed || !s.whole() {
-			r.violate("%s: answered with what is not its whole answer: id %q, sealed %t, %q", s, s.answerTo, s.sealed, s.body)
+		if s.answerID != s.id || !s.sealed || !s.isWhole() {
+			r.reportViolation("%s: status 200 without its own whole answer: id %q, sealed %t, %q", s, s.answerID, s.sealed, s.answerBody)
 		}
 	case s.status == http.StatusPaymentRequired && s.key == poorKey:
-	case s.status >= http.StatusBadRequest && s.status < http.StatusInternalServerError && !promises[s.status]:
-		r.violate("%s: refused with %d although it is allowed", s, s.status)
+	case s.status >= http.StatusBadRequest && s.status < http.StatusInternalServerError && !notRunStatuses[s.status]:
+		r.reportViolation("%s: refused with %d although the request is allowed", s, s.status)
 	}
-	if s.ended.Sub(s.began) > routeTimeout+lateSlack && !r.troubledAt(s.instance, s.began.Add(-settleTime), s.ended) {
-		r.violate("%s: had no answer for %v", s, s.ended.Sub(s.began))
+	if s.end.Sub(s.start) > routeTimeout+timeoutSlack && !r.interruptedBetween(s.instance, s.start.Add(-faultEffectDuration), s.end) {
+		r.reportViolation("%s: had no answer for %v", s, s.end.Sub(s.start))
 	}
 }
 
-// whole reports that the body is all of the answer to this request.
-func (s *sending) whole() bool {
+// isWhole reports whether the body is the whole answer to this request.
+func (s *request) isWhole() bool {
 	if strings.HasPrefix(s.route, "stream") || s.route == "resumable" {
 		var all strings.Builder
 		for n := 1; n <= streamEvents; n++ {
 			fmt.Fprintf(&all, "id: %d\ndata: piece %d\n\n", n, n)
 		}
-		return s.body == all.String()
+		return s.answerBody == all.String()
 	}
-	return strings.HasPrefix(s.body, "answer of u") && strings.HasSuffix(s.body, " to "+s.id)
+	return strings.HasPrefix(s.answerBody, "answer of u") && strings.HasSuffix(s.answerBody, " to "+s.id)
 }
 
 // String implements fmt.Stringer.
-func (s *sending) String() string { return s.route + " request " + s.id + " at " + s.instance.name }
+func (s *request) String() string { return s.route + " request " + s.id + " at " + s.instance.name }
 
-// checkRuns compares what clients were told with what the upstreams ran.
-func (r *run) checkRuns() {
+// checkRuns compares the answers that clients got with what the upstreams ran, and the tokens
+// that the poor account spent with its prepaid amount.
+func (r *runner) checkRuns() {
 	runs := r.fleet.runs()
-	spent, unseen := int64(0), int64(0)
-	for _, s := range r.sendings {
+	spent, unwitnessed := int64(0), int64(0)
+	for _, s := range r.requests {
 		ran := runs[s.id]
-		r.checkCount(s, ran)
-		if promises[s.status] && len(ran) > 0 {
-			r.violate("%s: told %d, which means not run, and ran %d times", s, s.status, len(ran))
+		r.checkRunCount(s, ran)
+		if notRunStatuses[s.status] && len(ran) > 0 {
+			r.reportViolation("%s: told %d, which means not run, and ran %d times", s, s.status, len(ran))
 		}
-		cutOff := s.err != nil && !s.left && len(ran) > 0
-		excused := r.troubled(s.began.Add(-settleTime), s.ended) || r.crashedBetween(s.began, s.ended)
-		if cutOff && r.stoppedAt(s.instance, s.began, s.ended) && !excused {
-			r.violate("%s: cut off by a planned stop: %v", s, s.err)
+		cutOff := s.err != nil && !s.leavesEarly && len(ran) > 0
+		excused := r.failureBetween(s.start.Add(-faultEffectDuration), s.end) || r.crashBetween(s.start, s.end)
+		if cutOff && r.plannedWorkBetween(s.instance, s.start, s.end) && !excused {
+			r.reportViolation("%s: cut off by a planned stop: %v", s, s.err)
 		}
 		if s.key == poorKey && len(ran) > 0 {
 			cost := promptTokens + s.events()
 			spent += cost
-			unseen += r.unseen(s, cost)
+			unwitnessed += r.unwitnessedCost(s, cost)
 		}
 	}
 	_, prepaid := r.fleet.operator.state()
 	over := spent - prepaid
-	if over > unseen {
-		r.violate("account %s spent %d tokens of %d", poorAccount, spent, prepaid)
+	if over > unwitnessed {
+		r.reportViolation("account %s spent %d tokens of %d prepaid", poorAccount, spent, prepaid)
 	} else if over > 0 {
-		r.apart = over
+		r.excusedOverspend = over
 	}
 }
 
-func (r *run) checkCount(s *sending, ran []standin.Run) {
+// checkRunCount checks that a request ran at most as often as its route allows.
+func (r *runner) checkRunCount(s *request, ran []standin.Run) {
 	for k := range routes {
 		route := &routes[k]
 		if route.Name != s.route {
 			continue
 		}
 		if !route.Repeatable() && len(ran) > 1 {
-			r.violate("%s: ran %d times", s, len(ran))
+			r.reportViolation("%s: ran %d times", s, len(ran))
 		}
 		if len(ran) > route.MaxAttempts {
-			r.violate("%s: ran %d times, %d allowed", s, len(ran), route.MaxAttempts)
+			r.reportViolation("%s: ran %d times, %d allowed", s, len(ran), route.MaxAttempts)
 		}
 	}
 }
 
-// checkRecovery waits until every instance serves every route and knows the newest
+// checkRecovery waits until every instance serves every route by the newest
 // configuration.
-func (r *run) checkRecovery() {
-	deadline := time.Now().Add(recoverTime)
+func (r *runner) checkRecovery() {
+	deadline := time.Now().Add(recoveryTimeout)
 	for _, i := range r.fleet.instances {
 		for _, route := range []string{"once", "safe", "stream", "resumable", optionalRoute} {
 			for !r.serves(i, route) {
 				if time.Now().After(deadline) {
-					r.violate("%s does not serve %s rightly %v after the last fault", i.name, route, recoverTime)
+					r.reportViolation("%s does not serve route %s as configured %v after the last fault", i.name, route, recoveryTimeout)
 					break
 				}
-				time.Sleep(recoverCheck)
+				time.Sleep(pollInterval)
 			}
 		}
 	}
 }
 
-// recoverCheck is the pause between two looks.
-const recoverCheck = 100 * time.Millisecond
+// pollInterval is the pause between two checks of an instance.
+const pollInterval = 100 * time.Millisecond
 
-// serves reports whether an instance answers a route as configured.
-func (r *run) serves(i *instance, route string) bool {
+// serves reports whether an instance answers a route as it is configured.
+func (r *runner) serves(i *instance, route string) bool {
 	r.probes++
-	s := &sending{id: fmt.Sprintf("probe-%d", r.probes), key: richKey, instance: i, route: route}
+	s := &request{id: fmt.Sprintf("probe-%d", r.probes), key: richKey, instance: i, route: route}
 	transport := &http.Transport{DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
 	s.send(transport, nil)
@@ -136,5 +139,5 @@
 	if route == optionalRoute && !optional {
 		return s.status == http.StatusNotFound
 	}
-	return s.err == nil && s.status == http.StatusOK && s.whole()
+	return s.err == nil && s.status == http.StatusOK && s.isWhole()
 }
--- a/pkg/soak/client.go
+++ b/pkg/soak/client.go
@@ -12,79 +12,80 @@
 	"github.com/lavenderring/lavenderring/platform"
 )
 
-// How clients behave.
+// Behaviour of the clients.
 const (
-	// longestThink is the longest pause of a client between two requests.
-	longestThink = 60 * time.Millisecond
-	// clientWait is how long a client says it will wait; givesUp in how many requests it
-	// leaves early, after at most leavesWithin.
-	clientWait   = 2500 * time.Millisecond
-	givesUp      = 20
-	leavesWithin = 60 * time.Millisecond
-	// poorShare is in how many requests one is of the account that runs out.
-	poorShare = 6
+	// maxClientPause is the longest pause of a client between two requests.
+	maxClientPause = 60 * time.Millisecond
+	// clientTimeout is the deadline that a client sends with a request. In one of
+	// leaveDivisor requests it closes the connection early, after at most maxLeaveDelay.
+	clientTimeout = 2500 * time.Millisecond
+	leaveDivisor  = 20
+	maxLeaveDelay = 60 * time.Millisecond
+	// One of poorDivisor requests is sent for the account whose tokens run out.
+	poorDivisor = 6
 )
 
-// sending is one request of a client, and what became of it.
-type sending struct {
+// request is one request of a client and its result.
+type request struct {
 	id, route, key string
-	// content is the request's body; empty for one of its own.
-	content      string
-	instance     *instance
-	began, ended time.Time
-	status       int
-	body         string
-	sealed       bool
-	answerTo     string
-	err          error
-	// left says that the client left early.
-	left bool
+	// requestBody is the request's body; if empty, send makes one that contains the id.
+	requestBody string
+	instance    *instance
+	start, end  time.Time
+	status      int
+	answerBody  string
+	sealed      bool
+	answerID    string
+	err         error
+	// leavesEarly is set if the client closes the connection early.
+	leavesEarly bool
 }
 
-// client sends requests to one instance after the other, on connections that are kept
-// until the instance closes them or is gone.
-func (r *run) client(ctx context.Context, n int) {
+// runClient sends requests until ctx ends, on a persistent connection to one instance. After an
+// error or a 5xx answer it goes on at an instance that it picks at random.
+func (r *runner) runClient(ctx context.Context, n int) {
 	rng := rand.New(rand.NewPCG(r.opts.Seed, uint64(n)+1))
 	transport := &http.Transport{MaxIdleConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
-	at := r.fleet.instances[n%len(r.fleet.instances)]
+	target := r.fleet.instances[n%len(r.fleet.instances)]
 	for k := 0; ctx.Err() == nil; k++ {
-		s := r.draw(rng, at, fmt.Sprintf("c%d-%d", n, k))
+		s := r.newRequest(rng, target, fmt.Sprintf("c%d-%d", n, k))
 		s.send(transport, rng)
-		r.note(s)
+		r.record(s)
 		if s.err != nil || s.status >= http.StatusInternalServerError {
 			transport.CloseIdleConnections()
-			at = r.fleet.instances[rng.IntN(len(r.fleet.instances))]
+			target = r.fleet.instances[rng.IntN(len(r.fleet.instances))]
 		}
-		time.Sleep(upTo(rng, longestThink))
+		time.Sleep(randDuration(rng, maxClientPause))
 	}
 }
 
-func (r *run) draw(rng *rand.Rand, at *instance, id string) *sending {
-	s := &sending{id: id, key: richKey, instance: at, route: routes[rng.IntN(len(routes))].Name}
-	if rng.IntN(poorShare) == 0 {
+// newRequest draws the route, the account and whether the client leaves early.
+func (r *runner) newRequest(rng *rand.Rand, target *instance, id string) *request {
+	s := &request{id: id, key: richKey, instance: target, route: routes[rng.IntN(len(routes))].Name}
+	if rng.IntN(poorDivisor) == 0 {
 		s.key = poorKey
 	}
-	s.left = rng.IntN(givesUp) == 0
+	s.leavesEarly = rng.IntN(leaveDivisor) == 0
 	return s
 }
 
 // send sends the request and reads the whole answer.
-func (s *sending) send(transport *http.Transport, rng *rand.Rand) {
-	ctx, cancel := context.WithTimeout(context.Background(), clientWait+lateSlack)
+func (s *request) send(transport *http.Transport, rng *rand.Rand) {
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout+timeoutSlack)
 	defer cancel()
-	if s.left {
-		leave := time.AfterFunc(upTo(rng, leavesWithin), cancel)
+	if s.leavesEarly {
+		leave := time.AfterFunc(randDuration(rng, maxLeaveDelay), cancel)
 		defer leave.Stop()
 	}
-	s.began = time.Now()
-	defer func() { s.ended = time.Now() }()
+	s.start = time.Now()
+	defer func() { s.end = time.Now() }()
 	names := platform.UpstreamHeaders
-	content := s.content
+	content := s.requestBody
 	if content == "" {
 		content = "body of " + s.id
 	}
-	url := "http://" + s.instance.clients + "/" + s.route + "/x"
+	url := "http://" + s.instance.clientAddress + "/" + s.route + "/x"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(content))
 	if err != nil {
 		s.err = err
@@ -93,7 +94,7 @@
 	req.Host = host
 	req.Header.Set("Authorization", "Bearer "+s.key)
 	req.Header.Set(names.RequestID, s.id)
-	req.Header.Set(names.Deadline, fmt.Sprint(clientWait.Milliseconds()))
+	req.Header.Set(names.Deadline, fmt.Sprint(clientTimeout.Milliseconds()))
 	req.Header.Set(names.Tokens, fmt.Sprintf("%d,%d", promptTokens, outputTokens))
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
@@ -101,11 +102,11 @@
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	s.status, s.answerTo = resp.StatusCode, resp.Header.Get(names.RequestID)
+	s.status, s.answerID = resp.StatusCode, resp.Header.Get(names.RequestID)
 	s.sealed = resp.Header.Get(names.Seal) != ""
 	read, err := io.ReadAll(resp.Body)
-	s.body, s.err = string(read), err
+	s.answerBody, s.err = string(read), err
 }
 
-// events is how many whole events of a stream the client has.
-func (s *sending) events() int64 { return int64(strings.Count(s.body, "\n\n")) }
+// events returns the number of whole events of a stream that the client has received.
+func (s *request) events() int64 { return int64(strings.Count(s.answerBody, "\n\n")) }
--- a/pkg/soak/emptied.go
+++ b/pkg/soak/emptied.go
@@ -8,79 +8,84 @@
 	"github.com/lavenderring/lavenderring/pkg/pause"
 )
 
-// Failure domains that operators empty, and whose upstreams come back cold.
+// Parameters of the failure domains that operators empty, and whose upstreams are cold when the
+// domain is restored.
 const (
-	// emptiedIn is in one of how many runs there are such domains, mostEmptied how many then.
-	emptiedIn, mostEmptied = 3, 2
-	// leastEmptied and longestEmptied are how long a domain is emptied.
-	leastEmptied, longestEmptied = 3 * time.Second, 6 * time.Second
-	// coldFor is for how long its upstreams are cold then, coldPerSecond what each bears.
-	coldFor       = 2 * time.Second
+	// One of emptyingDivisor runs empties domains, at most maxEmptyings times.
+	emptyingDivisor, maxEmptyings = 3, 2
+	// minEmptyDuration and maxEmptyDuration bound how long a domain is emptied.
+	minEmptyDuration, maxEmptyDuration = 3 * time.Second, 6 * time.Second
+	// coldDuration is how long the upstreams of a restored domain are cold, coldPerSecond how many
+	// requests each of them takes in a second meanwhile.
+	coldDuration  = 2 * time.Second
 	coldPerSecond = 12
 )
 
-// emptying is one time in which a domain gets nothing.
+// emptying is one period in which a domain gets no requests.
 type emptying struct {
-	at, lasts time.Duration
-	domain    string
+	start, duration time.Duration
+	domain          string
 }
 
-// newEmptyings draws them from numbers of their own: the other faults of a seed stay what they are.
+// newEmptyings draws them from a random sequence of their own, so that the other faults of a seed stay
+// the same.
 func newEmptyings(seed uint64, length time.Duration) []emptying {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	if rng.IntN(emptiedIn) != 0 {
+	if rng.IntN(emptyingDivisor) != 0 {
 		return nil
 	}
 	var all []emptying
-	for range 1 + rng.IntN(mostEmptied) {
+	for range 1 + rng.IntN(maxEmptyings) {
 		all = append(all, emptying{
-			at:     upTo(rng, length),
-			lasts:  leastEmptied + upTo(rng, longestEmptied-leastEmptied),
-			domain: domainOf(rng.IntN(domains)),
+			start:    randDuration(rng, length),
+			duration: minEmptyDuration + randDuration(rng, maxEmptyDuration-minEmptyDuration),
+			domain:   domainOf(rng.IntN(numDomains)),
 		})
 	}
 	return all
 }
 
-// empty empties a domain, checks that nothing reaches it once all must know, and gives it back cold.
-func (r *run) empty(ctx context.Context, e emptying) {
-	if !pause.For(ctx, e.at) {
+// emptyDomain empties a domain, checks that no request reaches it once every instance must have applied
+// that, and restores it with cold upstreams.
+func (r *runner) emptyDomain(ctx context.Context, e emptying) {
+	if !pause.For(ctx, e.start) {
 		return
 	}
-	r.say("empty %s for %v", e.domain, e.lasts)
-	told := time.Now()
-	r.countEmptied(e.domain, 1)
+	r.logf("empty %s for %v", e.domain, e.duration)
+	announced := time.Now()
+	r.addActiveEmptyings(e.domain, 1)
 	r.fleet.store.Empty(e.domain)
-	pause.For(ctx, drainTime)
-	upstreams := r.fleet.upstreamsOf(e.domain)
-	before := runsAt(upstreams)
-	pause.For(ctx, e.lasts)
-	if late := runsAt(upstreams) - before; late > 0 && !r.troubled(told.Add(-settleTime), time.Now()) {
-		r.violate("%d requests reached %s after it was emptied", late, e.domain)
+	pause.For(ctx, drainDuration)
+	upstreams := r.fleet.upstreamsIn(e.domain)
+	before := numRunsAt(upstreams)
+	pause.For(ctx, e.duration)
+	if late := numRunsAt(upstreams) - before; late > 0 && !r.failureBetween(announced.Add(-faultEffectDuration), time.Now()) {
+		r.reportViolation("%d requests reached %s after it was emptied", late, e.domain)
 	}
-	if r.countEmptied(e.domain, -1) > 0 {
-		return // it is emptied for another time as well, whose end gives it back
+	if r.addActiveEmptyings(e.domain, -1) > 0 {
+		return // another emptying of the domain is active, whose end restores it
 	}
-	for _, u := range r.fleet.upstreamsOf(e.domain) {
-		u.SetCold(coldPerSecond, coldFor)
+	for _, u := range r.fleet.upstreamsIn(e.domain) {
+		u.SetCold(coldPerSecond, coldDuration)
 		r.fleet.announce(u)
 	}
 	r.fleet.store.Restore(e.domain)
-	pause.For(ctx, coldFor)
-	for _, u := range r.fleet.upstreamsOf(e.domain) {
+	pause.For(ctx, coldDuration)
+	for _, u := range r.fleet.upstreamsIn(e.domain) {
 		r.fleet.announce(u)
 	}
 }
 
-// countEmptied changes for how many times a domain is emptied at present, and returns that.
-func (r *run) countEmptied(domain string, by int) int {
+// addActiveEmptyings changes the number of active emptyings of a domain and returns the new number.
+func (r *runner) addActiveEmptyings(domain string, by int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.emptied[domain] += by
-	return r.emptied[domain]
+	r.activeEmptyings[domain] += by
+	return r.activeEmptyings[domain]
 }
 
-func runsAt(upstreams []*upstream) int {
+// numRunsAt returns the number of runs at some upstreams.
+func numRunsAt(upstreams []*upstream) int {
 	runs := 0
 	for _, u := range upstreams {
 		runs += len(u.Runs())
@@ -88,36 +93,36 @@
 	return runs
 }
 
-// checkCold checks that no cold upstream got more than it bears.
-func (r *run) checkCold() {
-	for _, u := range r.fleet.everyUpstream() {
+// checkCold checks that no cold upstream got more requests than it takes.
+func (r *runner) checkCold() {
+	for _, u := range r.fleet.allUpstreams() {
 		if overruns := u.ColdOverruns(); overruns > 0 {
-			r.violate("%s got %d requests more than it bears while cold", u.ID, overruns)
+			r.reportViolation("upstream %s got %d requests more than it takes while cold", u.ID, overruns)
 		}
 	}
 }
 
-// upstreamsOf returns the upstreams of a domain that are in service.
-func (f *fleet) upstreamsOf(domain string) []*upstream {
+// upstreamsIn returns the upstreams in service of a domain.
+func (f *fleet) upstreamsIn(domain string) []*upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var in []*upstream
+	var inDomain []*upstream
 	for _, u := range f.upstreams {
 		if u.domain == domain {
-			in = append(in, u)
+			inDomain = append(inDomain, u)
 		}
 	}
-	return in
+	return inDomain
 }
 
-// everyUpstream returns all that ever were.
-func (f *fleet) everyUpstream() []*upstream {
+// allUpstreams returns every upstream that the run has started, also those that are gone.
+func (f *fleet) allUpstreams() []*upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*upstream{}, f.all...)
 }
 
-// announce writes an upstream's entry again, unless it leaves.
+// announce writes an upstream's entry again, unless the upstream is leaving or out of service.
 func (f *fleet) announce(u *upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/soak/fleet.go
+++ b/pkg/soak/fleet.go
@@ -16,10 +16,10 @@
 	"github.com/lavenderring/lavenderring/platform/standin"
 )
 
-// grace is how long an instance may take for a planned stop before it is killed.
-const grace = 8 * time.Second
+// stopTimeout is how long an instance may take for a planned stop before it is killed.
+const stopTimeout = 8 * time.Second
 
-// fleet is the system under test and what stands around it.
+// fleet is the system under test with the stand-ins for its store, operator and upstreams.
 type fleet struct {
 	opts      Options
 	store     *standin.Server
@@ -27,31 +27,31 @@
 	instances []*instance
 
 	mu        sync.Mutex
-	upstreams []*upstream // those in service
-	all       []*upstream
-	// leaving are those that have said that they leave and are still there.
-	leaving map[*upstream]bool
-	made    int
-	closed  bool
-	// onCrash is told of an upstream that a request ended.
+	upstreams []*upstream // in service
+	all       []*upstream // every one that was started, by incarnation
+	// leaving has the upstreams that are announced as leaving and not yet withdrawn.
+	leaving    map[*upstream]bool
+	numStarted int
+	closed     bool
+	// onCrash is called when a request has crashed an upstream.
 	onCrash func(u *upstream, ran standin.Run)
 }
 
-// instance is one instance as a process of its own, behind relays.
+// instance is one instance: a separate process behind relays to its clients and to the store.
 type instance struct {
-	name, settings     string
-	clients, ready     string
-	toClients, toStore *relay.Relay
-	program            string
-	log                *os.File
+	name, settingsPath          string
+	clientAddress, readyAddress string
+	clientRelay, storeRelay     *relay.Relay
+	program                     string
+	log                         *os.File
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// restarting keeps two faults from starting the process twice.
-	restarting sync.Mutex
+	// restartMu keeps two faults from starting the process twice.
+	restartMu sync.Mutex
 }
 
-// upstream is one upstream behind a relay.
+// upstream is one upstream stand-in behind a relay.
 type upstream struct {
 	*standin.Upstream
 	service, domain string
@@ -77,25 +77,25 @@
 	}
 	var seeds []string
 	for n := range opts.Instances {
-		i, peers, err := f.newInstance(n, address, seeds)
+		i, peerAddress, err := f.newInstance(n, address, seeds)
 		if err != nil {
 			return nil, err
 		}
-		if len(seeds) < mostSeeds {
-			seeds = append(seeds, peers)
+		if len(seeds) < maxSeeds {
+			seeds = append(seeds, peerAddress)
 		}
 		f.instances = append(f.instances, i)
 	}
 	return f, nil
 }
 
-// mostSeeds is how many peers an instance is told of at its start.
-const mostSeeds = 3
+// maxSeeds is how many peers are listed as seeds in an instance's settings.
+const maxSeeds = 3
 
-// domains is the number of failure domains.
-const domains = 3
+// numDomains is the number of failure domains.
+const numDomains = 3
 
-func domainOf(n int) string { return fmt.Sprintf("domain-%d", n%domains) }
+func domainOf(n int) string { return fmt.Sprintf("domain-%d", n%numDomains) }
 
 func serviceOf(n int) string {
 	if n%2 == 0 {
@@ -106,36 +106,36 @@
 
 func (f *fleet) newInstance(n int, store string, seeds []string) (*instance, string, error) {
 	i := &instance{
-		name: fmt.Sprintf("edge-%d", n), clients: loopback.Address(), ready: loopback.Address(), program: f.opts.Program,
+		name: fmt.Sprintf("edge-%d", n), clientAddress: loopback.Address(), readyAddress: loopback.Address(), program: f.opts.Program,
 	}
-	peers, behind, toStore := loopback.Address(), loopback.Address(), loopback.Address()
+	peerAddress, listenAddress, storeAddress := loopback.Address(), loopback.Address(), loopback.Address()
 	var err error
-	if i.toClients, err = relay.Start(i.clients, "", behind); err != nil {
+	if i.clientRelay, err = relay.Start(i.clientAddress, "", listenAddress); err != nil {
 		return nil, "", fmt.Errorf("start a relay: %w", err)
 	}
-	if i.toStore, err = relay.Start(toStore, "", store); err != nil {
+	if i.storeRelay, err = relay.Start(storeAddress, "", store); err != nil {
 		return nil, "", fmt.Errorf("start a relay: %w", err)
 	}
 	text := fmt.Sprintf("name = %q\nregion = \"r\"\ndomain = %q\nclient_address = %q\nready_address = %q\n"+
-		"peer_address = %q\nadmin_address = %q\nstore_address = %q\nseeds = [", i.name, domainOf(n), behind, i.ready,
-		peers, loopback.Address(), toStore)
+		"peer_address = %q\nadmin_address = %q\nstore_address = %q\nseeds = [", i.name, domainOf(n), listenAddress, i.readyAddress,
+		peerAddress, loopback.Address(), storeAddress)
 	for _, seed := range seeds {
 		text += fmt.Sprintf("%q, ", seed)
 	}
-	text += fmt.Sprintf("]\ngrace_seconds = %.1f\n", grace.Seconds())
-	i.settings = filepath.Join(f.opts.Dir, i.name+".toml")
-	if err := os.WriteFile(i.settings, []byte(text), 0o600); err != nil {
+	text += fmt.Sprintf("]\ngrace_seconds = %.1f\n", stopTimeout.Seconds())
+	i.settingsPath = filepath.Join(f.opts.Dir, i.name+".toml")
+	if err := os.WriteFile(i.settingsPath, []byte(text), 0o600); err != nil {
 		return nil, "", err
 	}
 	if i.log, err = os.Create(filepath.Join(f.opts.Dir, i.name+".log")); err != nil {
 		return nil, "", err
 	}
-	return i, peers, i.start()
+	return i, peerAddress, i.start()
 }
 
-// start starts the process.
+// start starts the instance's process.
 func (i *instance) start() error {
-	cmd := exec.Command(i.program, "route", i.settings)
+	cmd := exec.Command(i.program, "route", i.settingsPath)
 	cmd.Stdout, cmd.Stderr = i.log, i.log
 	cmd.Env = append(os.Environ(), "GORACE=halt_on_error=1")
 	i.mu.Lock()
@@ -144,26 +144,26 @@
 	return cmd.Start()
 }
 
-// signal sends a signal to the present process.
+// signal sends a signal to the current process.
 func (i *instance) signal(s syscall.Signal) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	_ = i.cmd.Process.Signal(s) // one that has ended needs none
+	_ = i.cmd.Process.Signal(s) // the process may have ended
 }
 
-// wait waits until the present process has ended; it is killed after a time.
-func (i *instance) wait(most time.Duration) {
+// wait waits until the current process has ended, and kills it after a timeout.
+func (i *instance) wait(timeout time.Duration) {
 	i.mu.Lock()
 	cmd := i.cmd
 	i.mu.Unlock()
-	kill := time.AfterFunc(most, func() { _ = cmd.Process.Kill() })
+	kill := time.AfterFunc(timeout, func() { _ = cmd.Process.Kill() })
 	defer kill.Stop()
-	_ = cmd.Wait() // killed ones end with an error
+	_ = cmd.Wait() // a killed process ends with an error
 }
 
 func (i *instance) isReady() bool {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + i.ready + platform.ReadyPath)
+	resp, err := client.Get("http://" + i.readyAddress + platform.ReadyPath)
 	if err != nil {
 		return false
 	}
@@ -171,11 +171,11 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// addUpstream starts an upstream and has the store know of it.
+// addUpstream starts an upstream and announces it in the store.
 func (f *fleet) addUpstream(service, domain string) error {
 	f.mu.Lock()
-	f.made++
-	id := fmt.Sprintf("u%d", f.made)
+	f.numStarted++
+	id := fmt.Sprintf("u%d", f.numStarted)
 	f.mu.Unlock()
 	u := &upstream{service: service, domain: domain, relayAddress: loopback.Address()}
 	if err := f.startUpstream(u, id, loopback.Address()); err != nil {
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// startUpstream starts an upstream's process at an address, and the relay before it.
+// startUpstream starts an upstream stand-in at an address, and the relay in front of it.
 func (f *fleet) startUpstream(u *upstream, id, address string) error {
 	events := 0
 	if u.service == engineService {
@@ -197,19 +197,19 @@
 	}
 	var err error
 	if u.Upstream, err = standin.StartUpstream(id, address, events); err != nil {
-		return fmt.Errorf("start an upstream: %w", err)
+		return fmt.Errorf("start upstream %s: %w", id, err)
 	}
 	u.OnCrash = func(ran standin.Run) { f.onCrash(u, ran) }
-	u.SetFaults(standin.UpstreamFaults{Delay: workTime, Fatal: fatalMark})
+	u.SetFaults(standin.UpstreamFaults{Delay: answerDelay, Fatal: crashMarker})
 	if u.relay, err = relay.Start(u.relayAddress, "", u.Address); err != nil {
 		return fmt.Errorf("start a relay: %w", err)
 	}
 	return nil
 }
 
-// takeUpstream takes an upstream out of those that faults strike; nil if its service
-// would have too few left.
-func (f *fleet) takeUpstream(n int) *upstream {
+// removeUpstream takes an upstream out of service and returns it, or returns nil if its
+// service would have too few left.
+func (f *fleet) removeUpstream(n int) *upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u := f.upstreams[n%len(f.upstreams)]
@@ -219,7 +219,7 @@
 			same++
 		}
 	}
-	if same <= leastUpstreams {
+	if same <= minUpstreams {
 		return nil
 	}
 	for k, other := range f.upstreams {
@@ -231,16 +231,17 @@
 	return u
 }
 
-// leastUpstreams is how many upstreams of a service stay in service.
-const leastUpstreams = 2
+// minUpstreams is how many upstreams of a service stay in service.
+const minUpstreams = 2
 
-func (f *fleet) upstream(n int) *upstream {
+// upstreamAt returns upstream n, modulo the number of upstreams in service.
+func (f *fleet) upstreamAt(n int) *upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.upstreams[n%len(f.upstreams)]
 }
 
-// runs returns what all upstreams have run, by request.
+// runs returns the runs at all upstreams, by request id.
 func (f *fleet) runs() map[string][]standin.Run {
 	f.mu.Lock()
 	all := append([]*upstream{}, f.all...)
@@ -254,14 +255,14 @@
 	return runs
 }
 
-// close ends what this run started, by process id.
+// close ends the processes, relays and stand-ins that the run has started.
 func (f *fleet) close() {
 	for _, i := range f.instances {
 		i.signal(syscall.SIGCONT)
 		i.signal(syscall.SIGKILL)
-		i.wait(grace)
-		i.toClients.Close()
-		i.toStore.Close()
+		i.wait(stopTimeout)
+		i.clientRelay.Close()
+		i.storeRelay.Close()
 		_ = i.log.Close()
 	}
 	f.mu.Lock()
--- a/pkg/soak/operator.go
+++ b/pkg/soak/operator.go
@@ -13,22 +13,22 @@
 	host          = "fleet.example"
 	plainService  = "jobs"
 	engineService = "models"
-	// richKey is of an account that never runs out, poorKey of one that does.
+	// richKey belongs to an account whose tokens never run out, poorKey to one whose tokens do.
 	richKey, poorKey = "key-rich", "key-poor"
 	poorAccount      = "poor"
 	richTokens       = 1 << 40
 	poorTokens       = 6000
-	topUp            = 2000
-	// promptTokens and outputTokens are what one request costs at most.
+	topUpTokens      = 2000
+	// promptTokens and outputTokens bound the cost of one request.
 	promptTokens, outputTokens = 100, 20
 	streamEvents               = 6
-	// workTime is the time for an answer, or the pause between two events.
-	workTime = 5 * time.Millisecond
-	// routeTimeout is the longest that a client is kept waiting.
+	// answerDelay is how long an upstream takes for an answer, or for each event of a stream.
+	answerDelay = 5 * time.Millisecond
+	// routeTimeout is the longest time that a client waits for an answer.
 	routeTimeout = 3 * time.Second
 )
 
-// routes are those that are always there; optionalRoute comes and goes.
+// routes are always configured; optionalRoute is added and removed by operator.change.
 var routes = []routing.Route{
 	{Name: "once", Kind: routing.Once, MaxAttempts: 2, Targets: []routing.Target{{Service: plainService, Weight: 1}}},
 	{Name: "safe", Kind: routing.Idempotent, MaxAttempts: 2, Targets: []routing.Target{{Service: plainService, Weight: 1}}},
@@ -41,29 +41,29 @@
 
 const optionalRoute = "optional"
 
-// operator writes the configuration. Its writes are acknowledged whatever faults the
-// store has for instances.
+// operator writes the configuration, directly at the store stand-in: its writes succeed
+// whatever faults the store has for instances.
 type operator struct {
 	store *standin.Server
 
 	mu       sync.Mutex
 	version  uint64
 	optional bool
-	// prepaid is the poor account's.
+	// prepaid is the prepaid amount of the poor account, in tokens.
 	prepaid int64
 }
 
-// change writes the next version: the optional route goes or comes back, and the poor
-// account is topped up.
+// change writes the next version, with the optional route added or removed and the poor
+// account topped up.
 func (o *operator) change() error {
 	o.mu.Lock()
 	o.optional = !o.optional
-	o.prepaid += topUp
+	o.prepaid += topUpTokens
 	o.mu.Unlock()
 	return o.write()
 }
 
-// write writes a version.
+// write writes the configuration under the next version.
 func (o *operator) write() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -76,9 +76,9 @@
 		Version: o.version,
 		Keyed:   true,
 		Services: []routing.Service{
-			{Name: plainService, MaxConnections: 4000, ColdPerSecond: coldPerSecond, ColdFor: coldFor},
+			{Name: plainService, MaxConnections: 4000, ColdPerSecond: coldPerSecond, ColdFor: coldDuration},
 			{
-				Name: engineService, MaxConnections: 4000, ColdPerSecond: coldPerSecond, ColdFor: coldFor,
+				Name: engineService, MaxConnections: 4000, ColdPerSecond: coldPerSecond, ColdFor: coldDuration,
 				Engine: &routing.Engine{Slots: 64, MemoryTokens: 1 << 20, TokensPerEvent: 1},
 			},
 		},
@@ -103,7 +103,8 @@
 	return config
 }
 
-// state tells what is configured.
+// state returns whether the optional route is configured, and the poor account's prepaid
+// amount.
 func (o *operator) state() (optional bool, prepaid int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/pkg/soak/plan.go
+++ b/pkg/soak/plan.go
@@ -10,46 +10,47 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. Those of an instance strike its process or its connections,
-// those of an upstream its connections or what it answers.
+// The kinds of faults. Faults of an instance affect its process or its connections,
+// faults of an upstream its connections or its answers.
 const (
-	Kill            Kind = "kill"             // SIGKILL, started again later
-	KillAll         Kind = "kill-all"         // SIGKILL to all instances at once, started again together
+	Kill            Kind = "kill"             // SIGKILL, restarted later
+	KillAll         Kind = "kill-all"         // SIGKILL to all instances at once, all restarted together
 	Pause           Kind = "pause"            // SIGSTOP, SIGCONT later
-	Stop            Kind = "planned-stop"     // SIGTERM, started again when it has ended
+	Stop            Kind = "planned-stop"     // SIGTERM, restarted when it has ended
 	Reload          Kind = "reload"           // SIGHUP
 	StoreReset      Kind = "store-reset"      // an instance's connections to the store are refused
-	StoreSilence    Kind = "store-silence"    // its open ones fall silent for good
-	StoreHold       Kind = "store-hold"       // its calls arrive and the answers do not
-	StoreDelay      Kind = "store-delay"      // both directions are slow
+	StoreSilence    Kind = "store-silence"    // its open connections to the store go silent for good
+	StoreHold       Kind = "store-hold"       // its calls to the store arrive, the answers do not
+	StoreDelay      Kind = "store-delay"      // both directions to the store are delayed
 	ClientReset     Kind = "client-reset"     // its clients' connections are reset
 	UpstreamReset   Kind = "upstream-reset"   // an upstream's connections are refused
-	UpstreamSilence Kind = "upstream-silence" // its open ones fall silent for good
-	UpstreamHold    Kind = "upstream-hold"    // it gets requests and its answers do not pass
-	UpstreamDelay   Kind = "upstream-delay"   // both directions are slow
-	AnswersLost     Kind = "answers-lost"     // it runs requests and does not answer
-	AnswersRefused  Kind = "answers-refused"  // it says "not run"
-	AnswersFailed   Kind = "answers-failed"   // it answers 500
-	AnswersCrossed  Kind = "answers-crossed"  // it answers under another request's id
-	AnswersExtra    Kind = "answers-extra"    // it sends one too many
-	StreamsCut      Kind = "streams-cut"      // it breaks off within an event
-	Replaced        Kind = "replaced"         // it is marked as leaving, goes, and another comes
-	Outage          Kind = "outage"           // the store refuses everybody
-	Throttle        Kind = "throttle"         // the store throttles everybody
+	UpstreamSilence Kind = "upstream-silence" // an upstream's open connections go silent for good
+	UpstreamHold    Kind = "upstream-hold"    // an upstream gets requests, its answers do not arrive
+	UpstreamDelay   Kind = "upstream-delay"   // both directions to an upstream are delayed
+	AnswersLost     Kind = "answers-lost"     // an upstream runs requests and does not answer
+	AnswersRefused  Kind = "answers-refused"  // an upstream answers "not run"
+	AnswersFailed   Kind = "answers-failed"   // an upstream answers 500
+	AnswersCrossed  Kind = "answers-crossed"  // an upstream answers with another request's id
+	AnswersExtra    Kind = "answers-extra"    // an upstream sends an unsolicited extra answer
+	StreamsCut      Kind = "streams-cut"      // an upstream breaks streams off within an event
+	Replaced        Kind = "replaced"         // an upstream is announced as leaving and withdrawn, and another is added
+	Outage          Kind = "outage"           // the store refuses all calls
+	Throttle        Kind = "throttle"         // the store throttles all calls
 	Slow            Kind = "slow"             // the store is slow
-	WritesLost      Kind = "writes-lost"      // writes take effect unanswered
-	WritesLate      Kind = "writes-late"      // writes take effect later, unanswered
-	WatchesLost     Kind = "watches-lost"     // watches are never answered, their connections stand
-	HistoryGone     Kind = "history-gone"     // watches have to list anew
-	WentBack        Kind = "store-went-back"  // the store is away and comes back from a copy
-	Change          Kind = "change"           // a route goes or comes back, an account is topped up
+	WritesLost      Kind = "writes-lost"      // writes take effect and are not answered
+	WritesLate      Kind = "writes-late"      // writes take effect later and are not answered
+	WatchesLost     Kind = "watches-lost"     // watches are never answered, their connections stay open
+	HistoryGone     Kind = "history-gone"     // the change history is dropped, so watches must list again
+	StoreRollback   Kind = "store-went-back"  // the store is unavailable and comes back from an older copy
+	Change          Kind = "change"           // a route is added or removed, and an account topped up
 )
 
-// planned are the kinds that are no failure: what they cut off counts against the fleet.
-var planned = map[Kind]bool{Stop: true, Reload: true, Change: true, Replaced: true}
+// plannedKinds are the kinds that are planned work and not failures: a request that one of them
+// cuts off is a violation.
+var plannedKinds = map[Kind]bool{Stop: true, Reload: true, Change: true, Replaced: true}
 
-// allKinds lists the kinds in the order in which a plan draws them. Planned work stands
-// more than once: its promises are the strictest.
+// allKinds lists the kinds that a plan draws from. A seed's plan depends on their order.
+// Planned work is listed more than once, because its guarantees are the strictest.
 var allKinds = []Kind{
 	Kill, Pause, Stop, Stop, Reload, StoreReset, StoreSilence, StoreHold, StoreDelay, ClientReset,
 	UpstreamReset, UpstreamSilence, UpstreamHold, UpstreamDelay, AnswersLost, AnswersRefused, AnswersFailed,
@@ -59,86 +60,87 @@
 
 // Fault is one fault of a plan.
 type Fault struct {
-	// At is when it strikes, from the start; For is how long it lasts.
-	At, For time.Duration
-	Kind    Kind
-	// Target picks the instance or upstream; it is taken modulo their number.
+	// Start is the time from the start of the run, Duration how long the fault lasts.
+	Start, Duration time.Duration
+	Kind            Kind
+	// Target selects the instance or upstream, modulo their number.
 	Target int
 }
 
 // String implements fmt.Stringer.
 func (f Fault) String() string {
-	return fmt.Sprintf("%6.2fs %-16s target %d for %.2fs", f.At.Seconds(), f.Kind, f.Target, f.For.Seconds())
+	return fmt.Sprintf("%6.2fs %-16s target %d for %.2fs", f.Start.Seconds(), f.Kind, f.Target, f.Duration.Seconds())
 }
 
 // Bounds of a plan.
 const (
-	// warmUp is the time before the first fault.
-	warmUp = time.Second
-	// longestGap is the longest time between two series of faults, longestSeries how
-	// many faults of one kind come in a series, seriesGap the longest time between them.
-	longestGap    = 1200 * time.Millisecond
-	longestSeries = 3
-	seriesGap     = 400 * time.Millisecond
-	// shortestFault and longestFault bound how long one lasts: below and well above the
-	// time after which instances take others for silent (3 s).
-	shortestFault = 100 * time.Millisecond
-	longestFault  = 4500 * time.Millisecond
+	// warmUpDuration is the time before the first fault.
+	warmUpDuration = time.Second
+	// maxSeriesInterval bounds the time between the starts of two series of faults,
+	// maxSeriesLength the number of faults in a series, which are of one kind, and
+	// maxFaultInterval the time between the starts of two of them.
+	maxSeriesInterval = 1200 * time.Millisecond
+	maxSeriesLength   = 3
+	maxFaultInterval  = 400 * time.Millisecond
+	// minFaultDuration and maxFaultDuration bound how long a fault lasts: from below to
+	// well above the 3 s after which instances consider a member silent.
+	minFaultDuration = 100 * time.Millisecond
+	maxFaultDuration = 4500 * time.Millisecond
 )
 
-// plannedOnly is in how many plans one has planned work only. Beside a failure a planned
-// stop may cut requests off; alone it may not.
-const plannedOnly = 3
+// One of plannedOnlyDivisor plans has planned work only. During a failure a planned stop may
+// cut requests off; without one it may not.
+const plannedOnlyDivisor = 3
 
-// NewPlan draws the faults of a run from a seed: the same seed gives the same faults.
-// They come in series and overlap.
+// NewPlan draws the faults of a run from a seed; the same seed and length give the same
+// faults. Faults come in series and overlap.
 func NewPlan(seed uint64, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	kinds := allKinds
-	if rng.IntN(plannedOnly) == 0 {
+	if rng.IntN(plannedOnlyDivisor) == 0 {
 		kinds = []Kind{Stop, Reload, Change, Replaced}
 	}
 	var plan []Fault
-	for at := warmUp; at < length; at += upTo(rng, longestGap) {
+	for at := warmUpDuration; at < length; at += randDuration(rng, maxSeriesInterval) {
 		kind := kinds[rng.IntN(len(kinds))]
-		strikes := at
-		for range 1 + rng.IntN(longestSeries) {
+		faultStart := at
+		for range 1 + rng.IntN(maxSeriesLength) {
 			plan = append(plan, Fault{
-				At: strikes, For: shortestFault + upTo(rng, longestFault-shortestFault), Kind: kind, Target: rng.IntN(1 << 16),
+				Start: faultStart, Duration: minFaultDuration + randDuration(rng, maxFaultDuration-minFaultDuration), Kind: kind, Target: rng.IntN(1 << 16),
 			})
-			strikes += upTo(rng, seriesGap)
+			faultStart += randDuration(rng, maxFaultInterval)
 		}
 	}
 	if len(kinds) == len(allKinds) {
-		plan = append(plan, goingBack(seed, length)...)
+		plan = append(plan, newRollbacks(seed, length)...)
 	}
-	sort.SliceStable(plan, func(i, j int) bool { return plan[i].At < plan[j].At })
+	sort.SliceStable(plan, func(i, j int) bool { return plan[i].Start < plan[j].Start })
 	return plan
 }
 
-// backIn is in one of how many plans with failures the store goes back, mostBack how often then.
+// One of rollbackDivisor plans with failures has store rollbacks, at most maxRollbacks.
 const (
-	backIn   = 3
-	mostBack = 3
+	rollbackDivisor = 3
+	maxRollbacks    = 3
 )
 
-// goingBack draws when the store goes back in a run, from numbers of its own: the other faults of a
-// seed stay what they are.
-func goingBack(seed uint64, length time.Duration) []Fault {
+// newRollbacks draws the store rollbacks of a run from a random sequence of their own, so that the
+// other faults of a seed stay the same.
+func newRollbacks(seed uint64, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	if rng.IntN(backIn) != 0 {
+	if rng.IntN(rollbackDivisor) != 0 {
 		return nil
 	}
 	var plan []Fault
-	for range 1 + rng.IntN(mostBack) {
-		at := warmUp + upTo(rng, max(length-warmUp, time.Second))
-		lasts := shortestFault + upTo(rng, longestFault-shortestFault)
-		plan = append(plan, Fault{At: at, For: lasts, Kind: WentBack, Target: rng.IntN(1 << 16)})
+	for range 1 + rng.IntN(maxRollbacks) {
+		at := warmUpDuration + randDuration(rng, max(length-warmUpDuration, time.Second))
+		duration := minFaultDuration + randDuration(rng, maxFaultDuration-minFaultDuration)
+		plan = append(plan, Fault{Start: at, Duration: duration, Kind: StoreRollback, Target: rng.IntN(1 << 16)})
 	}
 	return plan
 }
 
-// upTo draws a time below a bound.
-func upTo(rng *rand.Rand, bound time.Duration) time.Duration {
+// randDuration draws a duration below a bound.
+func randDuration(rng *rand.Rand, bound time.Duration) time.Duration {
 	return time.Duration(rng.Int64N(int64(bound)))
 }
--- a/pkg/soak/soak.go
+++ b/pkg/soak/soak.go
@@ -1,12 +1,14 @@
-// Package soak runs the real program as separate processes, lets seeded faults strike
-// from outside, alone, in series and overlapping, while clients use the fleet, and checks
-// from what clients and upstreams see that the promises hold: at most one run of what may
-// not be repeated, true refusals, whole and own answers, no spending beyond what is
-// prepaid, planned work that cuts nothing off, and a fleet that serves again afterwards.
+// Package soak runs the real program as separate processes and injects seeded faults from
+// outside, single, in series and overlapping, while clients send requests. From what
+// clients and upstreams observe, it checks the guarantees: a non-idempotent request runs at
+// most once, refusals are true, each client gets its own whole answer, no account spends
+// more than it prepaid, planned work cuts no request off, and the fleet serves all routes
+// again afterwards.
 //
-// Faults come by signals and by relays on loopback addresses. The processes have no
-// storage. Their clocks cannot be stepped from outside; a paused process sees time jump.
-// Instances reach each other directly: what separates them is played elsewhere.
+// Faults are injected by signals and by relays on loopback addresses. The processes have no
+// storage. Their clocks cannot be stepped from outside, but a paused process sees its clock
+// jump. Instances reach each other directly.
+// Network partitions between them are tested elsewhere.
 package soak
 
 import (
@@ -19,207 +21,213 @@
 	"github.com/lavenderring/lavenderring/pkg/pause"
 )
 
-// Options size a run.
+// Options configures a run.
 type Options struct {
 	// Seed draws the faults and the clients' requests.
 	Seed uint64
-	// Length is for how long faults strike.
-	Length time.Duration
-	// Instances, Upstreams and Clients are how many there are.
+	// Duration is how long faults are injected.
+	Duration time.Duration
+	// Instances, Upstreams and Clients are the numbers of processes, stand-ins and clients.
 	Instances, Upstreams, Clients int
 	// Program is the path of the instance's program, Dir a directory for settings and
-	// logs, which are left there.
+	// logs, which are not removed.
 	Program, Dir string
-	// Out takes the course of the run; nil for none.
+	// Out gets a line for each fault and violation; nil for no output.
 	Out io.Writer
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
 	Faults     int
 	Requests   int
 	Statuses   map[string]int
 	Violations []string
-	// Fatal is how many requests crashed upstreams, Crashes how many they crashed.
-	Fatal, Crashes int
-	// Apart is what was overspent after the store went back while instances died, in tokens.
-	Apart int64
+	// CrashingRequests is the number of crashing requests, UpstreamCrashes how many
+	// upstreams they crashed.
+	CrashingRequests, UpstreamCrashes int
+	// ExcusedOverspend is how many tokens were spent beyond the prepaid amount after store
+	// rollbacks during which instances died or were paused. That is no violation.
+	ExcusedOverspend int64
 }
 
 // String implements fmt.Stringer.
 func (r *Report) String() string {
-	return fmt.Sprintf("seed %d: %d faults, %d requests %v, %d violations, %d tokens apart, %d fatal requests that crashed %d upstreams",
-		r.Seed, r.Faults, r.Requests, r.Statuses, len(r.Violations), r.Apart, r.Fatal, r.Crashes)
+	return fmt.Sprintf("seed %d: %d faults, %d requests %v, %d violations, %d tokens overspent after store rollbacks, %d crashing requests that crashed %d upstreams",
+		r.Seed, r.Faults, r.Requests, r.Statuses, len(r.Violations), r.ExcusedOverspend, r.CrashingRequests, r.UpstreamCrashes)
 }
 
-// struck is when a fault was in force, and where.
-type struck struct {
+// injectedFault records when a fault was in effect, and at which instance.
+type injectedFault struct {
 	kind     Kind
 	instance *instance
 	from, to time.Time
 }
 
-// run is one run.
-type run struct {
+// runner is the state of one run.
+type runner struct {
 	opts   Options
 	fleet  *fleet
 	probes int
-	// fatal are the requests that crash upstreams, crashes how often they did.
-	fatal   []*fatalRequest
-	crashes int
+	// crashing are the requests that crash upstreams, crashes how many upstreams they crashed.
+	crashing []*crashingRequest
+	crashes  int
 
-	mu         sync.Mutex
-	sendings   []*sending
-	struck     []*struck
-	lost       []lostTime
-	violations []string
-	apart      int64
-	// emptied counts, by domain, the times that it is emptied for at present.
-	emptied map[string]int
+	mu               sync.Mutex
+	requests         []*request
+	faults           []*injectedFault
+	lostPeriods      []lostPeriod
+	violations       []string
+	excusedOverspend int64
+	// activeEmptyings is the number of active emptyings of each domain.
+	activeEmptyings map[string]int
 }
 
-// mostViolations bounds what is remembered: one cause can break a promise for each
+// maxViolations bounds the recorded violations: one cause can violate a guarantee for each
 // request.
-const mostViolations = 50
+const maxViolations = 50
 
-// readyTime is how long a fleet may take to start.
-const readyTime = 30 * time.Second
+// readyTimeout is how long a fleet may take to start.
+const readyTimeout = 30 * time.Second
 
-// Run plays one run to its end.
+// Run starts a fleet, injects the faults of the seed and checks the guarantees. It returns an
+// error only if the fleet did not start; violations are in the report.
 func Run(opts Options) (*Report, error) {
-	r := &run{opts: opts, fatal: newFatalRequests(opts.Seed), emptied: map[string]int{}}
+	r := &runner{opts: opts, crashing: newCrashingRequests(opts.Seed), activeEmptyings: map[string]int{}}
 	var err error
-	if r.fleet, err = newFleet(opts, r.crashed); err != nil {
+	if r.fleet, err = newFleet(opts, r.onUpstreamCrash); err != nil {
 		return nil, err
 	}
 	defer r.fleet.close()
 	if err := r.awaitReady(); err != nil {
 		return nil, err
 	}
-	plan := NewPlan(opts.Seed, opts.Length)
-	r.play(plan)
-	time.Sleep(runsSettle)
+	plan := NewPlan(opts.Seed, opts.Duration)
+	r.injectAll(plan)
+	time.Sleep(runsVisibleDelay)
 	r.checkRecovery()
 	r.checkRuns()
-	r.checkFatal()
+	r.checkCrashes()
 	r.checkCold()
 	return r.report(len(plan)), nil
 }
 
-func (r *run) awaitReady() error {
-	deadline := time.Now().Add(readyTime)
+func (r *runner) awaitReady() error {
+	deadline := time.Now().Add(readyTimeout)
 	for _, i := range r.fleet.instances {
 		for !i.isReady() {
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s is not ready after %v; see its log in %s", i.name, readyTime, r.opts.Dir)
+				return fmt.Errorf("instance %s is not ready after %v; see its log in %s", i.name, readyTimeout, r.opts.Dir)
 			}
-			time.Sleep(recoverCheck)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// play lets clients and faults run, and returns when all faults have ended.
-func (r *run) play(plan []Fault) {
-	clients, stopClients := context.WithCancel(context.Background())
-	var using, striking sync.WaitGroup
+// injectAll runs the clients and injects the faults of a plan. It returns when all faults and
+// clients have ended.
+func (r *runner) injectAll(plan []Fault) {
+	ctx, stopClients := context.WithCancel(context.Background())
+	var workers, faults sync.WaitGroup
 	for n := range r.opts.Clients {
-		using.Go(func() { r.client(clients, n) })
+		workers.Go(func() { r.runClient(ctx, n) })
 	}
-	for _, e := range newEmptyings(r.opts.Seed, r.opts.Length) {
-		using.Go(func() { r.empty(clients, e) })
+	for _, e := range newEmptyings(r.opts.Seed, r.opts.Duration) {
+		workers.Go(func() { r.emptyDomain(ctx, e) })
 	}
-	for n, f := range r.fatal {
-		using.Go(func() { r.keepSending(clients, n, f) })
+	for n, f := range r.crashing {
+		workers.Go(func() { r.sendRepeatedly(ctx, n, f) })
 	}
-	began := time.Now()
+	start := time.Now()
 	for _, f := range plan {
-		time.Sleep(time.Until(began.Add(f.At)))
-		r.say("%s", f)
-		striking.Go(func() { r.strikeNoted(f) })
+		time.Sleep(time.Until(start.Add(f.Start)))
+		r.logf("%s", f)
+		faults.Go(func() { r.injectAndRecord(f) })
 	}
-	pause.For(context.Background(), time.Until(began.Add(r.opts.Length)))
-	striking.Wait()
+	pause.For(context.Background(), time.Until(start.Add(r.opts.Duration)))
+	faults.Wait()
 	stopClients()
-	using.Wait()
+	workers.Wait()
 }
 
-// strikeNoted strikes and notes when and where.
-func (r *run) strikeNoted(f Fault) {
-	s := &struck{kind: f.Kind, instance: r.fleet.instances[f.Target%len(r.fleet.instances)], from: time.Now()}
+// injectAndRecord injects a fault and records when and at which instance.
+func (r *runner) injectAndRecord(f Fault) {
+	s := &injectedFault{kind: f.Kind, instance: r.fleet.instances[f.Target%len(r.fleet.instances)], from: time.Now()}
 	r.mu.Lock()
-	r.struck = append(r.struck, s)
+	r.faults = append(r.faults, s)
 	r.mu.Unlock()
-	r.strike(context.Background(), f)
+	r.inject(context.Background(), f)
 	r.mu.Lock()
 	s.to = time.Now()
 	r.mu.Unlock()
 }
 
-// overlaps reports whether a noted fault that a choice accepts was in force in a time.
-func (r *run) overlaps(from, to time.Time, choice func(*struck) bool) bool {
+// faultBetween reports whether a recorded fault that match accepts was in effect in a period.
+func (r *runner) faultBetween(from, to time.Time, match func(*injectedFault) bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.struck {
-		if choice(s) && s.from.Before(to) && (s.to.IsZero() || s.to.After(from)) {
+	for _, s := range r.faults {
+		if match(s) && s.from.Before(to) && (s.to.IsZero() || s.to.After(from)) {
 			return true
 		}
 	}
 	return false
 }
 
-// troubled reports a failure anywhere in a time.
-func (r *run) troubled(from, to time.Time) bool {
-	return r.overlaps(from, to, func(s *struck) bool { return !planned[s.kind] })
+// failureBetween reports whether any failure was in effect in a period.
+func (r *runner) failureBetween(from, to time.Time) bool {
+	return r.faultBetween(from, to, func(s *injectedFault) bool { return !plannedKinds[s.kind] })
 }
 
-// troubledAt reports that an instance was killed, paused or replaced in a time.
-func (r *run) troubledAt(i *instance, from, to time.Time) bool {
-	return r.overlaps(from, to, func(s *struck) bool {
+// interruptedBetween reports whether an instance was killed, paused or stopped in a period.
+func (r *runner) interruptedBetween(i *instance, from, to time.Time) bool {
+	return r.faultBetween(from, to, func(s *injectedFault) bool {
 		return s.instance == i && (s.kind == Kill || s.kind == Pause || s.kind == Stop)
 	})
 }
 
-// stoppedAt reports that an instance had planned work in a time.
-func (r *run) stoppedAt(i *instance, from, to time.Time) bool {
-	return r.overlaps(from, to, func(s *struck) bool {
+// plannedWorkBetween reports whether an instance was stopped or reloaded as planned in a period.
+func (r *runner) plannedWorkBetween(i *instance, from, to time.Time) bool {
+	return r.faultBetween(from, to, func(s *injectedFault) bool {
 		return s.instance == i && (s.kind == Stop || s.kind == Reload)
 	})
 }
 
-func (r *run) note(s *sending) {
+// record checks an answer and keeps the request for checkRuns.
+func (r *runner) record(s *request) {
 	r.checkAnswer(s)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sendings = append(r.sendings, s)
+	r.requests = append(r.requests, s)
 }
 
-func (r *run) violate(format string, args ...any) {
+// reportViolation logs and records the violation of a guarantee.
+func (r *runner) reportViolation(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	r.say("VIOLATION %s", text)
+	r.logf("VIOLATION %s", text)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.violations) < mostViolations {
+	if len(r.violations) < maxViolations {
 		r.violations = append(r.violations, text)
 	}
 }
 
-func (r *run) say(format string, args ...any) {
+func (r *runner) logf(format string, args ...any) {
 	if r.opts.Out != nil {
 		_, _ = fmt.Fprintf(r.opts.Out, "seed %d "+format+"\n", append([]any{r.opts.Seed}, args...)...)
 	}
 }
 
-func (r *run) report(faults int) *Report {
+func (r *runner) report(faults int) *Report {
 	report := &Report{
-		Seed: r.opts.Seed, Faults: faults, Requests: len(r.sendings), Statuses: map[string]int{}, Violations: r.violations, Apart: r.apart,
-		Fatal: len(r.fatal), Crashes: r.crashes,
+		Seed: r.opts.Seed, Faults: faults, Requests: len(r.requests), Statuses: map[string]int{}, Violations: r.violations, ExcusedOverspend: r.excusedOverspend,
+		CrashingRequests: len(r.crashing), UpstreamCrashes: r.crashes,
 	}
-	for _, s := range r.sendings {
+	for _, s := range r.requests {
 		name := fmt.Sprint(s.status)
 		switch {
-		case s.left && s.err != nil:
+		case s.leavesEarly && s.err != nil:
 			name = "left"
 		case s.err != nil:
 			name = "broken"
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -8,10 +8,10 @@
 	"github.com/lavenderring/lavenderring/pkg/soak"
 )
 
-// Faults drawn from a seed strike a fleet of processes while its clients go on: alone, in
-// series and overlapping, or planned work only. Whatever happens, clients see none of the
-// promises broken, and all routes are served again afterwards. Longer runs, with other
-// seeds and more processes, are played by hand (cmd/soak).
+// Faults drawn from a seed are injected into a fleet of processes while its clients send
+// requests: single, in series and overlapping, or planned work only. None of the guarantees
+// that package soak checks may be violated, and all routes must be served again afterwards.
+// Longer runs, with other seeds and more processes, are started by hand (cmd/soak).
 func TestSeededSoak(t *testing.T) {
 	cases := []struct {
 		description string
@@ -26,7 +26,7 @@
 	for _, c := range cases {
 		t.Run(c.description, func(t *testing.T) {
 			report, err := soak.Run(soak.Options{
-				Seed: c.seed, Length: 8 * time.Second, Instances: c.instances, Upstreams: 6, Clients: 12,
+				Seed: c.seed, Duration: 8 * time.Second, Instances: c.instances, Upstreams: 6, Clients: 12,
 				Program: filepath.Join(binaries, "lavenderring"), Dir: t.TempDir(),
 			})
 			if err != nil {
