--- a/test/client_test.go
+++ b/test/client_test.go
@@ -11,38 +11,38 @@
 	"github.com/lavenderring/lavenderring/pkg/chat"
 )
 
-// answer is what a caller got.
+// answer is what a client got for a request.
 type answer struct {
 	status  int
 	header  http.Header
 	body    string
-	whole   bool
+	whole   bool // complete, with status 200
 	problem problem
 	err     error
 }
 
-// problem is a refusal or failure.
+// problem is the body of a refusal or failure.
 type problem struct {
 	Title   string `json:"title"`
 	Outcome string `json:"outcome"`
 	Request string `json:"request"`
 }
 
-// refusedUnrun says that the answer truly claims that nothing ran.
-func (a answer) refusedUnrun() bool { return a.problem.Outcome == "not-run" }
+// refusedNotRun reports whether the answer claims that the request did not run.
+func (a answer) refusedNotRun() bool { return a.problem.Outcome == "not-run" }
 
-// call sends a caller's request and reads all of the answer.
+// call sends a client's request and reads the whole answer.
 func call(address, key, method, path, idempotencyKey string, body []byte) answer {
-	return callFor(giveUpAfter, address, key, method, path, idempotencyKey, body)
+	return callWithTimeout(waitTimeout, address, key, method, path, idempotencyKey, body)
 }
 
-// callFor is call by a caller who hangs up after a while.
-func callFor(patience time.Duration, address, key, method, path, idempotencyKey string, body []byte) answer {
-	return callWithID(patience, address, key, method, path, idempotencyKey, "", body)
+// callWithTimeout is call by a client that closes its connection after a timeout.
+func callWithTimeout(timeout time.Duration, address, key, method, path, idempotencyKey string, body []byte) answer {
+	return callWithID(timeout, address, key, method, path, idempotencyKey, "", body)
 }
 
 func callWithID(
-	patience time.Duration, address, key, method, path, idempotencyKey, id string, body []byte,
+	timeout time.Duration, address, key, method, path, idempotencyKey, id string, body []byte,
 ) answer {
 	req, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -56,7 +56,7 @@
 	if id != "" {
 		req.Header.Set(chat.HeaderRequestID, id)
 	}
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
 		return answer{err: err}
@@ -74,29 +74,29 @@
 }
 
 // ask sends a model request.
-func ask(address, key string, stream bool, maxTokens int64, question string) answer {
-	return askFor(giveUpAfter, address, key, stream, maxTokens, question)
+func askModel(address, key string, stream bool, maxTokens int64, prompt string) answer {
+	return askModelWithTimeout(waitTimeout, address, key, stream, maxTokens, prompt)
 }
 
-func askFor(patience time.Duration, address, key string, stream bool, maxTokens int64, question string) answer {
+func askModelWithTimeout(timeout time.Duration, address, key string, stream bool, maxTokens int64, prompt string) answer {
 	body, err := json.Marshal(chat.Request{
 		Model:     "leak-report",
-		Messages:  []chat.Message{{Role: "user", Content: question}},
+		Messages:  []chat.Message{{Role: "user", Content: prompt}},
 		MaxTokens: maxTokens,
 		Stream:    stream,
 	})
 	if err != nil {
 		return answer{err: err}
 	}
-	return callFor(patience, address, key, http.MethodPost, "/v1/chat/completions", "", body)
+	return callWithTimeout(timeout, address, key, http.MethodPost, "/v1/chat/completions", "", body)
 }
 
-// assign sends a request that may not be repeated.
+// assign sends a non-idempotent request.
 func assign(address, idempotencyKey, job string) answer {
 	return call(address, crewKey, http.MethodPost, "/services/jobs/assign", idempotencyKey, []byte(`{"job":"`+job+`"}`))
 }
 
-// text returns the answer's text, streamed or whole.
+// text returns the generated text of an answer, streamed or not.
 func (a answer) text() string {
 	var out strings.Builder
 	for _, line := range strings.Split(a.body, "\n") {
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -15,24 +15,24 @@
 	"github.com/lavenderring/lavenderring/platform/standin"
 )
 
-// Two operators show the same version and apply different edits. One takes
-// effect; the other is told and can bring its edit together with the first's.
+// Two operators read the same version and write different edits. One edit takes
+// effect; the other gets a conflict, so that its operator can merge the edits.
 func TestRacingOperatorsOneWins(t *testing.T) {
 	f := newFleet(t, options{instances: 2, prepaid: 1000})
 	for round := range 5 {
 		object, err := f.store.Get(t.Context(), configsync.DocumentPrefix+service)
 		f.must(err)
-		var race sync.WaitGroup
+		var writers sync.WaitGroup
 		results := make([]error, 2)
 		for n := range results {
 			doc := *f.doc
 			doc.Accounts = append([]document.Account{}, f.doc.Accounts...)
-			// Each edit changes something: the store takes one that does not from anyone.
+			// Each edit must change something: the store accepts a write of unchanged contents at any version.
 			doc.Accounts[n].PrepaidTokens = int64(1010 + 10*round)
 			text := encodeDocument(t, &doc)
-			race.Go(func() { _, results[n] = f.write(text, object.Position) })
+			writers.Go(func() { _, results[n] = f.writeDocument(text, object.Position) })
 		}
-		race.Wait()
+		writers.Wait()
 		won := 0
 		for _, err := range results {
 			if err == nil {
@@ -42,54 +42,55 @@
 			}
 		}
 		if won != 1 {
-			t.Errorf("round %d: %d edits took effect", round, won)
+			t.Errorf("round %d: %d edits took effect, expected 1", round, won)
 		}
 		f.awaitGeneration(uint64(2 + round))
 	}
 }
 
-// An operator writes a document with faults past the command line's check. The
-// one accepted before stays in force, and the status says every reason.
+// An operator writes an invalid document to the store, past the check of the
+// command line. The document accepted before stays in force, and the status in the
+// store names every fault.
 func TestInvalidEditLeavesTheAcceptedInForce(t *testing.T) {
 	f := newFleet(t, options{instances: 2, engines: 1, prepaid: 100_000})
 	object, err := f.store.Get(t.Context(), configsync.DocumentPrefix+service)
 	f.must(err)
-	bad := strings.Replace(string(object.Value), "prepaid_tokens = 100000", "prepaid_tokens = -5", 1)
-	bad = strings.Replace(bad, "max_output_tokens = 400", "max_output_tokens = 0", 1)
-	_, err = f.write([]byte(bad), object.Position)
+	invalid := strings.Replace(string(object.Value), "prepaid_tokens = 100000", "prepaid_tokens = -5", 1)
+	invalid = strings.Replace(invalid, "max_output_tokens = 400", "max_output_tokens = 0", 1)
+	_, err = f.writeDocument([]byte(invalid), object.Position)
 	f.must(err)
-	f.await("the reason", func() bool {
+	f.await("the reasons in the status", func() bool {
 		status, err := f.store.Get(t.Context(), configsync.StatusPrefix+service)
 		text := string(status.Value)
 		return err == nil && strings.Contains(text, "prepaid_tokens") && strings.Contains(text, "max_output_tokens")
 	})
-	if a := ask(f.instances[0].address, crewKey, true, 5, question); !a.whole {
+	if a := askModel(f.instances[0].address, crewKey, true, 5, samplePrompt); !a.whole {
 		t.Errorf("got %d %s", a.status, a.body)
 	}
 	if status, _ := f.status(f.instances[0]); status.Generations[service] != 1 {
-		t.Errorf("in force: %v", status.Generations)
+		t.Errorf("generations in force are %v, expected generation 1", status.Generations)
 	}
 }
 
-// The platform goes away right after an edit was accepted by some. An instance
-// that starts in the outage asks its seeds and comes up with the newest that
-// they know, never with nothing or an old one.
+// The store becomes unavailable right after an edit was accepted. An instance
+// that starts during the outage queries its seeds and starts with the newest
+// generation that they hold, never without a configuration or with an older one.
 func TestInstanceStartedInOutageHasTheNewest(t *testing.T) {
 	f := newFleet(t, options{instances: 2, engines: 1, prepaid: 100_000})
 	f.doc.Pools[0].MaxOutputTokens = 300
 	f.apply(f.doc)
 	f.awaitGeneration(2)
 	f.post(f.platform.address, "/faults", standin.Faults{Outage: true})
-	late := f.startInstance(2, []string{f.peerAddress(f.instances[0])})
-	f.awaitReady(late)
-	status, err := f.status(late)
+	started := f.startInstance(2, []string{f.peerAddress(f.instances[0])})
+	f.awaitReady(started)
+	status, err := f.status(started)
 	f.must(err)
 	if status.Generations[service] != 2 {
-		t.Errorf("it came up with %v", status.Generations)
+		t.Errorf("the instance started with generations %v, expected generation 2", status.Generations)
 	}
 }
 
-// peerAddress reads an instance's own peer address from its settings.
+// peerAddress reads an instance's own peer address from its status.
 func (f *fleet) peerAddress(p *process) string {
 	f.t.Helper()
 	status, err := f.status(p)
@@ -99,27 +100,27 @@
 			return m.PeerAddress
 		}
 	}
-	f.t.Fatal("an instance does not list itself")
+	f.t.Fatalf("the instance at %s does not list itself as a member", p.control)
 	return ""
 }
 
-// An engine is marked as leaving. Once the edit is in force nothing new is sent
-// to it, though the stream that runs on it is finished.
+// An engine is marked as leaving. Once the edit is in force, the engine gets no
+// new requests, and the streams that run on it are completed.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
 	f := newFleet(t, options{instances: 3, engines: 2, prepaid: 10_000_000, tokenMillis: 10})
 	running := make(chan answer, 6)
 	for n := range 6 {
-		go func() { running <- ask(f.instances[n%3].address, crewKey, true, 200, question) }()
+		go func() { running <- askModel(f.instances[n%3].address, crewKey, true, 200, samplePrompt) }()
 	}
-	f.await("streams under way", func() bool { return len(f.engineUsage()) == 6 })
+	f.await("running streams", func() bool { return len(f.engineUsage()) == 6 })
 	f.doc.Pools[0].Upstreams[0].State = document.StateLeaving
 	f.apply(f.doc)
 	f.awaitGeneration(2)
-	before := usageCount(f, 0)
+	before := countEngineRequests(f, 0)
 	for n := range 20 {
-		expectWhole(t, f, ask(f.instances[n%3].address, crewKey, false, 2, question))
+		expectWhole(t, f, askModel(f.instances[n%3].address, crewKey, false, 2, samplePrompt))
 	}
-	if after := usageCount(f, 0); after != before {
+	if after := countEngineRequests(f, 0); after != before {
 		t.Errorf("the leaving engine got %d new requests", after-before)
 	}
 	for range 6 {
@@ -127,18 +128,19 @@
 	}
 }
 
-func usageCount(f *fleet, engine int) int {
-	one := *f
-	one.engines = f.engines[engine : engine+1]
-	return len(one.engineUsage())
+// countEngineRequests returns for how many requests one engine has counted tokens.
+func countEngineRequests(f *fleet, engine int) int {
+	single := *f
+	single.engines = f.engines[engine : engine+1]
+	return len(single.engineUsage())
 }
 
-// rollingRounds is how often each instance is replaced; more are run by hand.
+// rollingRounds is how often each instance is replaced; manual runs set more rounds.
 var rollingRounds = flag.Int("rolling", 1, "rounds of TestRollingRestartLosesNothing")
 
-// All instances are replaced one after the other under load, by callers who, as
-// the balancer does, go to another instance when one refuses or is gone. Nothing
-// that was begun is lost, and the books agree afterwards.
+// All instances are replaced one after the other under load. Clients send a
+// request to another instance when one refuses it or is gone, as a load balancer
+// does. No request is lost, and bills, ledger and upstreams agree afterwards.
 func TestRollingRestartLosesNothing(t *testing.T) {
 	const prepaid = 10_000_000
 	f := newFleet(t, options{instances: 3, engines: 2, services: 2, prepaid: prepaid, tokenMillis: 1})
@@ -150,10 +152,10 @@
 		return instances[n%len(instances)]
 	}
 	stop := make(chan struct{})
-	var callers sync.WaitGroup
+	var clients sync.WaitGroup
 	var jobs int
 	for n := range 4 {
-		callers.Go(func() {
+		clients.Go(func() {
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
@@ -161,10 +163,10 @@
 				default:
 				}
 				job := fmt.Sprintf("job-%d-%d", n, i)
-				if !balanced(pick, n+i, func(p *process) answer { return assign(p.address, job, job) }) {
+				if !sendWithFailover(pick, n+i, func(p *process) answer { return assign(p.address, job, job) }) {
 					t.Errorf("%s was lost", job)
 				}
-				balanced(pick, n+i, func(p *process) answer { return ask(p.address, crewKey, true, 30, question) })
+				sendWithFailover(pick, n+i, func(p *process) answer { return askModel(p.address, crewKey, true, 30, samplePrompt) })
 				mu.Lock()
 				jobs++
 				mu.Unlock()
@@ -174,10 +176,10 @@
 	for restart := range 3 * *rollingRounds {
 		n := restart % 3
 		old := pick(n)
-		fresh := f.startInstance(n, nil)
-		f.awaitReady(fresh)
+		replacement := f.startInstance(n, nil)
+		f.awaitReady(replacement)
 		mu.Lock()
-		instances[n] = fresh
+		instances[n] = replacement
 		mu.Unlock()
 		old.signal(syscall.SIGTERM)
 		if err := old.cmd.Wait(); err != nil {
@@ -185,7 +187,7 @@
 		}
 	}
 	close(stop)
-	callers.Wait()
+	clients.Wait()
 	f.instances = instances
 	f.stopAll()
 	counts := map[string]int{}
@@ -200,18 +202,19 @@
 			t.Errorf("%s ran %d times", job, count)
 		}
 	}
-	checkBooks(t, f, nil, prepaid)
+	checkAccounting(t, f, nil, prepaid)
 }
 
-// balanced sends a request as the balancer would: on to the next instance while
-// one is stopping or gone before it took the request.
-func balanced(pick func(int) *process, n int, send func(*process) answer) bool {
+// sendWithFailover sends a request as a load balancer does: to the next instance
+// when one is stopping, or is gone before it accepted the request. It reports
+// whether a whole answer came.
+func sendWithFailover(pick func(int) *process, n int, send func(*process) answer) bool {
 	for try := range 6 {
 		a := send(pick(n + try))
 		if a.whole {
 			return true
 		}
-		if a.err == nil && !a.refusedUnrun() {
+		if a.err == nil && !a.refusedNotRun() {
 			return false
 		}
 	}
--- a/test/document_test.go
+++ b/test/document_test.go
@@ -8,6 +8,7 @@
 	"github.com/lavenderring/lavenderring/pkg/document"
 )
 
+// encodeDocument returns a document as the TOML text that operators write.
 func encodeDocument(t testing.TB, doc *document.Document) []byte {
 	t.Helper()
 	text, err := toml.Marshal(doc)
--- a/test/domain_test.go
+++ b/test/domain_test.go
@@ -12,8 +12,8 @@
 	"github.com/lavenderring/lavenderring/pkg/outcome"
 )
 
-// domainCommand runs the operators' command for failure domains and returns what it prints.
-func (f *fleet) domainCommand(args ...string) string {
+// runDomainCommand runs "lavenderring domain" and returns its output.
+func (f *fleet) runDomainCommand(args ...string) string {
 	f.t.Helper()
 	all := append([]string{"domain", "--platform", f.platform.address}, args...)
 	out, err := exec.Command(filepath.Join(binaries, "lavenderring"), all...).CombinedOutput()
@@ -23,7 +23,7 @@
 	return string(out)
 }
 
-// awaitEmptied waits until every instance has these domains in force.
+// awaitEmptied waits until every instance reports exactly these domains as emptied.
 func (f *fleet) awaitEmptied(domains string) {
 	f.t.Helper()
 	for _, i := range f.instances {
@@ -34,17 +34,18 @@
 	}
 }
 
-// Guards against an own door that goes on sending to a failure domain which operators have emptied, at
-// any instance or after a start, and against one that forgets to come back.
+// Guards against instances that run package entry ("lavenderring serve") and keep sending to a failure
+// domain which operators have emptied, at any instance, and against instances that send nothing there
+// after the domain was restored.
 func TestOwnDoorSendsNothingToAnEmptiedDomain(t *testing.T) {
 	f := newFleet(t, options{instances: 3, engines: 3, services: 3, prepaid: 10_000_000})
 	send := func(n int) answer {
 		return call(f.instances[n%3].address, crewKey, http.MethodPost, "/services/jobs/x", "", []byte("x"))
 	}
-	f.domainCommand("empty", domainOf(0))
+	f.runDomainCommand("empty", domainOf(0))
 	f.awaitEmptied("[" + domainOf(0) + "]")
-	if out := f.domainCommand("--json", "list"); !strings.Contains(out, domainOf(0)) {
-		t.Errorf("listed: %s", out)
+	if out := f.runDomainCommand("--json", "list"); !strings.Contains(out, domainOf(0)) {
+		t.Errorf("the emptied domain %s is not listed: %s", domainOf(0), out)
 	}
 	before := len(f.runsAt(f.services[0]))
 	for n := range 30 {
@@ -55,24 +56,25 @@
 	if after := len(f.runsAt(f.services[0])); after != before {
 		t.Errorf("%d requests reached the emptied domain", after-before)
 	}
-	f.domainCommand("restore", domainOf(0))
+	f.runDomainCommand("restore", domainOf(0))
 	f.awaitEmptied("[]")
-	f.await("work in the domain that was taken back", func() bool {
+	f.await("a request in the restored domain", func() bool {
 		send(0)
 		return len(f.runsAt(f.services[0])) > before
 	})
 }
 
-// Guards against callers of the own door that wait in vain while all domains are emptied.
+// Guards against clients of package entry ("lavenderring serve") that wait for an upstream while all
+// domains are emptied: they must be refused at once.
 func TestOwnDoorRefusesAtOnceWhileAllDomainsAreEmptied(t *testing.T) {
 	f := newFleet(t, options{instances: 1, engines: 1, services: 3, prepaid: 10_000_000})
 	for n := range 3 {
-		f.domainCommand("empty", domainOf(n))
+		f.runDomainCommand("empty", domainOf(n))
 	}
 	f.awaitEmptied("[a b c]")
-	began := time.Now()
+	start := time.Now()
 	a := call(f.instances[0].address, crewKey, http.MethodPost, "/services/jobs/x", "", []byte("x"))
-	if a.status != http.StatusServiceUnavailable || a.problem.Outcome != string(outcome.NotRun) || time.Since(began) > time.Second {
-		t.Errorf("got %d %s after %v", a.status, a.body, time.Since(began))
+	if a.status != http.StatusServiceUnavailable || a.problem.Outcome != string(outcome.NotRun) || time.Since(start) > time.Second {
+		t.Errorf("got %d %s after %v", a.status, a.body, time.Since(start))
 	}
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -1,6 +1,6 @@
-// Package test proves the promises on real processes: instances and stand-ins
-// are started, killed, frozen and cut, and what callers got is compared with
-// what the upstreams, the bills and the ledger say.
+// Package test checks the guarantees on real processes: instances and stand-ins
+// are started, killed, paused and partitioned, and the answers that clients got are
+// compared with what the upstreams, the bills and the ledger recorded.
 package test
 
 import (
@@ -26,13 +26,15 @@
 	"github.com/lavenderring/lavenderring/platform"
 )
 
-// Bounds of waiting. They say when a test gives up, not how fast anything is.
+// waitTimeout bounds every wait of a test, pollInterval is the pause between two
+// checks. Neither is a bound on the system's speed.
 const (
-	giveUpAfter = 60 * time.Second
-	lookAgain   = 50 * time.Millisecond
-	adminToken  = "operator"
+	waitTimeout  = 60 * time.Second
+	pollInterval = 50 * time.Millisecond
+	adminToken   = "operator"
 )
 
+// binaries is the directory of the built programs.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -52,16 +54,18 @@
 	os.Exit(code)
 }
 
-// process is one started program.
+// process is a started program with the addresses that the tests use.
 type process struct {
 	t       testing.TB
 	cmd     *exec.Cmd
 	address string
+	// control is where the process, or the relay in front of it, takes administration or fault requests.
 	control string
-	// behind is where the process listens itself; address may be that of a relay before it.
-	behind string
+	// listenAddress is where the process itself listens; address may be that of a relay in front of it.
+	listenAddress string
 }
 
+// start runs one of the built programs and kills it when the test ends.
 func start(t testing.TB, log io.Writer, program string, args ...string) *process {
 	t.Helper()
 	cmd := exec.Command(filepath.Join(binaries, program), args...)
@@ -84,38 +88,39 @@
 
 func freeAddress() string { return loopback.Address() }
 
-// fleet is a platform with instances and upstreams.
+// fleet is a store stand-in (the platform) with upstreams and with instances that run
+// package entry ("lavenderring serve").
 type fleet struct {
-	t         testing.TB
-	dir       string
-	platform  *process
-	engines   []*process
-	services  []*process
-	instances []*process
-	doc       *document.Document
-	store     *platform.Client
-	extra     string // settings for every instance
-	peerRelay bool
-	relays    []string // control addresses of the relays before instances
+	t                 testing.TB
+	dir               string
+	platform          *process
+	engines           []*process
+	services          []*process
+	instances         []*process
+	doc               *document.Document
+	store             *platform.Client
+	extraSettings     string // settings for every instance
+	usePeerRelays     bool
+	peerRelayControls []string // control addresses of the relays in front of peer addresses
 }
 
-// options sizes a fleet.
+// options sets the size and the properties of a fleet.
 type options struct {
 	instances, engines, services int
 	tokenMillis                  int
 	prepaid                      int64
 	deadlineMillis, idleMillis   int64
-	// callerReadMillis bounds the reading of a request; 0 leaves the default.
-	callerReadMillis int
-	// extra is settings text for every instance.
-	extra string
-	// viaRelay puts a relay before each engine.
-	viaRelay bool
-	// viaProxies puts a relay before each engine and service, which takes connections also while
-	// the process behind it is away.
-	viaProxies bool
-	// peerRelays puts a relay before each instance's peer address.
-	peerRelays bool
+	// clientReadMillis bounds how long an instance reads a request; 0 keeps the default.
+	clientReadMillis int
+	// extraSettings is TOML text appended to the settings of every instance.
+	extraSettings string
+	// relayEngines puts a relay in front of each engine.
+	relayEngines bool
+	// relayUpstreams puts a relay in front of each engine and service. The relay accepts connections
+	// also while the process behind it is down.
+	relayUpstreams bool
+	// usePeerRelays puts a relay in front of each instance's peer address.
+	usePeerRelays bool
 }
 
 const (
@@ -127,17 +132,17 @@
 func newFleet(t testing.TB, o options) *fleet {
 	t.Helper()
 	f := &fleet{t: t, dir: t.TempDir()}
-	f.extra, f.peerRelay = o.extra, o.peerRelays
-	if o.callerReadMillis > 0 {
-		f.extra += fmt.Sprintf("caller_read_millis = %d\n", o.callerReadMillis)
+	f.extraSettings, f.usePeerRelays = o.extraSettings, o.usePeerRelays
+	if o.clientReadMillis > 0 {
+		f.extraSettings += fmt.Sprintf("caller_read_millis = %d\n", o.clientReadMillis)
 	}
 	address := freeAddress()
 	f.platform = start(t, io.Discard, "standin", "platform", "--listen", address)
 	f.platform.address = address
 	f.store = platform.NewClient(address, 5*time.Second, nil)
-	f.await("platform", func() bool { _, err := f.store.List(t.Context(), "x"); return err == nil })
+	f.await("the platform stand-in", func() bool { _, err := f.store.List(t.Context(), "x"); return err == nil })
 	f.startUpstreams(o)
-	f.doc = f.document(o)
+	f.doc = f.newDocument(o)
 	for n := 0; n < o.instances; n++ {
 		f.instances = append(f.instances, f.startInstance(n, nil))
 	}
@@ -155,20 +160,20 @@
 		address := freeAddress()
 		p := start(f.t, io.Discard, "standin", "engine", "--listen", address, "--token-millis", fmt.Sprint(max(o.tokenMillis, 1)))
 		p.address, p.control = address, address
-		if o.viaRelay || o.viaProxies {
+		if o.relayEngines || o.relayUpstreams {
 			p.address, p.control = f.startRelay(address)
 		}
-		p.behind = address
+		p.listenAddress = address
 		f.engines = append(f.engines, p)
 	}
 	for n := 0; n < o.services; n++ {
 		address := freeAddress()
 		p := start(f.t, io.Discard, "standin", "plain", "--listen", address)
 		p.address, p.control = address, address
-		if o.viaProxies {
+		if o.relayUpstreams {
 			p.address, p.control = f.startRelay(address)
 		}
-		p.behind = address
+		p.listenAddress = address
 		f.services = append(f.services, p)
 	}
 	for _, p := range append(append([]*process{}, f.engines...), f.services...) {
@@ -184,12 +189,12 @@
 	return address, control
 }
 
-// startPeerRelay starts a relay that others reach an instance through.
+// startPeerRelay starts a relay through which the other instances reach an instance.
 func (f *fleet) startPeerRelay(to string) string {
 	address, control := freeAddress(), freeAddress()
 	start(f.t, io.Discard, "standin", "relay", "--listen", address, "--control", control, "--to", to)
 	f.awaitListening(control)
-	f.relays = append(f.relays, control)
+	f.peerRelayControls = append(f.peerRelayControls, control)
 	return address
 }
 
@@ -203,7 +208,7 @@
 	})
 }
 
-func (f *fleet) document(o options) *document.Document {
+func (f *fleet) newDocument(o options) *document.Document {
 	doc := &document.Document{
 		Service: service,
 		Limits:  document.Limits{DeadlineMillis: max(o.deadlineMillis, 10_000), StreamIdleMillis: o.idleMillis},
@@ -229,12 +234,12 @@
 
 func domainOf(n int) string { return []string{"a", "b", "c"}[n%3] }
 
-// startInstance starts an instance; seeds may be nil.
+// startInstance starts instance n; seeds may be nil.
 func (f *fleet) startInstance(n int, seeds []string) *process {
 	f.t.Helper()
-	caller, peer, admin := freeAddress(), freeAddress(), freeAddress()
+	client, peer, admin := freeAddress(), freeAddress(), freeAddress()
 	advertise := peer
-	if f.peerRelay {
+	if f.usePeerRelays {
 		advertise = f.startPeerRelay(peer)
 	}
 	quoted := make([]string, len(seeds))
@@ -255,19 +260,19 @@
 peer_silent_millis = 1500
 drain_delay_millis = 300
 admin_token_sha256 = %q
-`, n, domainOf(n), caller, peer, advertise, admin, f.platform.address, strings.Join(quoted, ","), document.HashKey(adminToken))
+`, n, domainOf(n), client, peer, advertise, admin, f.platform.address, strings.Join(quoted, ","), document.HashKey(adminToken))
 	path := filepath.Join(f.dir, fmt.Sprintf("instance-%d.toml", n))
-	f.must(os.WriteFile(path, []byte(text+f.extra), 0o600))
+	f.must(os.WriteFile(path, []byte(text+f.extraSettings), 0o600))
 	log, err := os.Create(filepath.Join(f.dir, fmt.Sprintf("instance-%d-%d.log", n, time.Now().UnixNano())))
 	f.must(err)
-	f.t.Cleanup(func() { tellRace(f.t, log.Name()) })
+	f.t.Cleanup(func() { reportRace(f.t, log.Name()) })
 	p := start(f.t, log, "lavenderring", "serve", path)
-	p.address, p.control = caller, admin
+	p.address, p.control = client, admin
 	return p
 }
 
-// tellRace prints what the race detector found in a program.
-func tellRace(t testing.TB, log string) {
+// reportRace fails the test with the race detector's output, if a program's log has any.
+func reportRace(t testing.TB, log string) {
 	text, err := os.ReadFile(log)
 	if at := strings.Index(string(text), "WARNING: DATA RACE"); err == nil && at >= 0 {
 		t.Errorf("%s", text[at:min(len(text), at+4000)])
@@ -286,15 +291,15 @@
 	await(f.t, what, done)
 }
 
-// await looks again and again until something is done.
+// await polls until done returns true and fails the test after waitTimeout.
 func await(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(giveUpAfter)
+	deadline := time.Now().Add(waitTimeout)
 	for !done() {
 		if time.Now().After(deadline) {
-			t.Fatalf("gave up waiting for %s", what)
+			t.Fatalf("gave up waiting for %s after %v", what, waitTimeout)
 		}
-		time.Sleep(lookAgain)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -310,8 +315,8 @@
 	})
 }
 
-// admin reads one of an instance's administration pages.
-func (f *fleet) admin(p *process, path string, into any) error {
+// getAdmin decodes one of an instance's administration resources.
+func (f *fleet) getAdmin(p *process, path string, into any) error {
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.control+path, nil)
 	f.must(err)
 	req.Header.Set("Authorization", "Bearer "+adminToken)
@@ -328,7 +333,7 @@
 
 func (f *fleet) status(p *process) (instance.Status, error) {
 	var status instance.Status
-	err := f.admin(p, "/status", &status)
+	err := f.getAdmin(p, "/status", &status)
 	return status, err
 }
 
@@ -358,20 +363,21 @@
 	}
 }
 
-// write writes a document's text for the operators; expect is its version.
-func (f *fleet) write(text []byte, expect store.Position) (store.Position, error) {
+// writeDocument writes the text of a service document as an operator does; expect is
+// the stored version that it replaces.
+func (f *fleet) writeDocument(text []byte, expect store.Position) (store.Position, error) {
 	return f.store.Put(f.t.Context(), configsync.DocumentPrefix+service, text, expect)
 }
 
-// apply writes a document over whatever is stored.
+// apply writes a document over the stored version, whichever it is.
 func (f *fleet) apply(doc *document.Document) {
 	f.t.Helper()
 	object, _ := f.store.Get(f.t.Context(), configsync.DocumentPrefix+service)
-	_, err := f.write(encodeDocument(f.t, doc), object.Position)
+	_, err := f.writeDocument(encodeDocument(f.t, doc), object.Position)
 	f.must(err)
 }
 
-// post sends a JSON body to a stand-in's or relay's switch.
+// post sends a JSON body to a stand-in or relay, to set its faults.
 func (f *fleet) post(address, path string, body any) {
 	f.t.Helper()
 	encoded, err := json.Marshal(body)
@@ -381,7 +387,7 @@
 	_ = resp.Body.Close()
 }
 
-// stopAll stops the instances in an orderly way and expects exit 0 of each.
+// stopAll stops the instances with SIGTERM and expects exit status 0 of each.
 func (f *fleet) stopAll() {
 	f.t.Helper()
 	for _, p := range f.instances {
@@ -389,7 +395,7 @@
 	}
 	for _, p := range f.instances {
 		if err := p.cmd.Wait(); err != nil {
-			f.t.Errorf("an instance did not stop in an orderly way: %v", err)
+			f.t.Errorf("the instance at %s ended with %v after SIGTERM", p.address, err)
 		}
 	}
 }
--- a/test/input_test.go
+++ b/test/input_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Callers send too much, too slowly, without end, or nothing that makes sense.
-// Each gets a clear 4xx or is hung up on by the read bound, and a crew that asks
-// meanwhile is served.
+// Clients send input that is too large, too slow, endless or malformed. Each gets
+// a 4xx answer or has its connection closed by the read timeout, and another client
+// is served meanwhile.
 func TestBadInputDisturbsNobody(t *testing.T) {
-	f := newFleet(t, options{instances: 1, engines: 1, prepaid: 1_000_000, callerReadMillis: 1500})
-	at := f.instances[0].address
+	f := newFleet(t, options{instances: 1, engines: 1, prepaid: 1_000_000, clientReadMillis: 1500})
+	address := f.instances[0].address
 	cases := []struct {
 		description string
 		send        string
-		status      string // empty: hung up on without an answer is well
+		status      string // prefix of the expected status; if empty, the connection may be closed without an answer
 	}{
 		{"no HTTP", "\x00\x01\x02\r\n\r\n", "400"},
 		{"a head without end", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 200_000), "4"},
@@ -30,29 +30,29 @@
 	}
 	for _, c := range cases {
 		t.Run(c.description, func(t *testing.T) {
-			conn, err := net.Dial("tcp", at)
+			conn, err := net.Dial("tcp", address)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() { _ = conn.Close() }()
 			go func() { _, _ = conn.Write([]byte(c.send)) }()
-			if a := ask(at, crewKey, true, 3, question); !a.whole {
-				t.Errorf("a crew meanwhile got %d %s", a.status, a.body)
+			if a := askModel(address, crewKey, true, 3, samplePrompt); !a.whole {
+				t.Errorf("another client meanwhile got %d %s", a.status, a.body)
 			}
-			_ = conn.SetReadDeadline(time.Now().Add(giveUpAfter))
+			_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 			line, err := bufio.NewReader(conn).ReadString('\n')
 			if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-				t.Fatal("the connection was held open")
+				t.Fatalf("the connection was still open after %v", waitTimeout)
 			}
 			if c.status != "" && line != "" && !strings.HasPrefix(line, "HTTP/1.1 "+c.status) {
 				t.Errorf("got %q", line)
 			}
 			if c.status != "" && line == "" {
-				t.Errorf("hung up on without an answer: %v", err)
+				t.Errorf("the connection was closed without an answer: %v", err)
 			}
 		})
 	}
-	if a := call(at, crewKey, http.MethodGet, "/nowhere", "", nil); a.status != http.StatusNotFound {
-		t.Errorf("got %d", a.status)
+	if a := call(address, crewKey, http.MethodGet, "/nowhere", "", nil); a.status != http.StatusNotFound {
+		t.Errorf("an unknown path got %d", a.status)
 	}
 }
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -11,25 +11,25 @@
 	"github.com/lavenderring/lavenderring/platform/standin"
 )
 
-// The desk presses "assign" and, hearing nothing, presses again and again, at
-// whatever instance the balancer gives it. All presses carry one key; the claim
-// on it is written before anything leaves, so one runs and the others wait for
-// its answer or read it later.
+// A client that gets no answer retries with the same idempotency key, at any
+// instance. The claim on the key is written before the request is sent to an
+// upstream, so one request runs and the others wait for its answer or read the
+// recorded one.
 func TestRetriesWithOneKeyRunOnce(t *testing.T) {
 	f := newFleet(t, options{instances: 3, services: 2, prepaid: 10_000})
 	for _, s := range f.services {
 		f.post(s.control, "/_faults", plain.Faults{DelayMillis: 300})
 	}
-	var presses sync.WaitGroup
+	var requests sync.WaitGroup
 	answers := make([]answer, 9)
 	for n := range answers {
-		presses.Go(func() { answers[n] = assign(f.instances[n%3].address, "job-1", "leak-17") })
+		requests.Go(func() { answers[n] = assign(f.instances[n%3].address, "job-1", "leak-17") })
 	}
-	presses.Wait()
+	requests.Wait()
 	answers = append(answers, assign(f.instances[1].address, "job-1", "leak-17"))
 	for n, a := range answers {
 		if !a.whole || a.body != answers[0].body {
-			t.Errorf("press %d got %d %q, the first %q", n, a.status, a.body, answers[0].body)
+			t.Errorf("request %d got %d %q, the first %q", n, a.status, a.body, answers[0].body)
 		}
 	}
 	if runs := f.runsOf("leak-17"); runs != 1 {
@@ -37,15 +37,15 @@
 	}
 }
 
-// The key of one job is used for another by mistake. Answering with the first
-// job's confirmation would leave the second without a van.
+// A client uses the idempotency key of one request for another. Replaying the
+// first answer would confirm a job that never ran, so the second is refused.
 func TestKeyOfAnotherRequestIsRefused(t *testing.T) {
 	f := newFleet(t, options{instances: 2, services: 1, prepaid: 10_000})
 	if a := assign(f.instances[0].address, "job-1", "leak-1"); !a.whole {
 		t.Fatalf("got %d %s", a.status, a.body)
 	}
 	a := assign(f.instances[1].address, "job-1", "leak-2")
-	if a.status != http.StatusUnprocessableEntity || !a.refusedUnrun() {
+	if a.status != http.StatusUnprocessableEntity || !a.refusedNotRun() {
 		t.Errorf("got %d %s", a.status, a.body)
 	}
 	if f.runsOf("leak-2") != 0 {
@@ -53,9 +53,10 @@
 	}
 }
 
-// The instance dies while the job is at the service. The desk's retry at another
-// instance must neither run it again nor say "not run": the service has it. The
-// claim names the dead instance, so the answer is "unknown" with the id to ask for.
+// An instance is killed while its request is at the upstream. The retry at
+// another instance must neither run the request again nor report "not run", since
+// the upstream has it. The existing claim names the dead instance, so the answer
+// is "unknown", with the id under which the outcome can be looked up.
 func TestDeathDuringDispatchIsUnknownNeverTwice(t *testing.T) {
 	f := newFleet(t, options{instances: 3, services: 1, prepaid: 10_000})
 	f.post(f.services[0].control, "/_faults", plain.Faults{DelayMillis: 2000})
@@ -73,9 +74,9 @@
 	}
 }
 
-// The instance dies at one step of a booking after the other. Wherever it is, the
-// desk's retry at another instance never makes it run twice, and what it is told
-// is true: it ran, it did not, or nobody knows.
+// An instance is killed at each step of a non-idempotent request. The retry at
+// another instance never runs the request a second time, and the outcome that it
+// reports is true: ran, not run or unknown.
 func TestDeathAtEachStepOfABooking(t *testing.T) {
 	for _, step := range []struct {
 		description string
@@ -123,16 +124,17 @@
 			if runs > 1 || runs < step.ranBefore {
 				t.Errorf("the job ran %d times", runs)
 			}
-			if a.whole && runs != 1 || a.refusedUnrun() && runs != 0 {
-				t.Errorf("told %d %s, and it ran %d times", a.status, a.body, runs)
+			if a.whole && runs != 1 || a.refusedNotRun() && runs != 0 {
+				t.Errorf("the retry got %d %s, and the job ran %d times", a.status, a.body, runs)
 			}
 		})
 	}
 }
 
-// The instance is frozen past every limit with the job at the service, and wakes
-// after others have answered the retry. It may finish its own request; it
-// dispatches nothing anew, and the retry after that gets the recorded answer.
+// An instance is paused beyond every timeout while its request is at the
+// upstream, and resumes after another instance has answered the retry. It may
+// finish its own request but dispatches nothing again, and a later retry gets the
+// recorded answer.
 func TestFrozenInstanceWakesWithoutHarm(t *testing.T) {
 	f := newFleet(t, options{instances: 3, services: 1, prepaid: 10_000})
 	f.post(f.services[0].control, "/_faults", plain.Faults{DelayMillis: 1000})
@@ -141,11 +143,11 @@
 	f.await("the run", func() bool { return f.runsOf("leak-17") == 1 })
 	f.instances[0].signal(syscall.SIGSTOP)
 	if a := assign(f.instances[1].address, "job-1", "leak-17"); a.problem.Outcome != "unknown" {
-		t.Errorf("while frozen: %d %s", a.status, a.body)
+		t.Errorf("a retry while the instance is paused got %d %s", a.status, a.body)
 	}
 	f.instances[0].signal(syscall.SIGCONT)
 	if a := <-first; !a.whole {
-		t.Errorf("the first press: %d %s %v", a.status, a.body, a.err)
+		t.Errorf("the first request got %d %s %v", a.status, a.body, a.err)
 	}
 	f.await("the recorded answer", func() bool {
 		return assign(f.instances[2].address, "job-1", "leak-17").whole
@@ -155,15 +157,15 @@
 	}
 }
 
-// The service runs the job and its connection breaks before the answer. The
-// HTTP library would send some requests again by itself; here each goes out on a
-// connection of its own that is dialled once.
+// An upstream runs the request and its connection breaks before the answer. The
+// HTTP library resends some requests by itself; the instance prevents that by
+// sending each request on a connection of its own that is dialled once.
 func TestBrokenAnswerIsUnknownNeverTwice(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodPut} {
 		t.Run(method, func(t *testing.T) {
 			f := newFleet(t, options{instances: 2, services: 2, prepaid: 10_000})
 			f.doc.Pools[1].Once[0].Method = method
-			f.doc.Accounts[0].PrepaidTokens++ // the store makes no version of a document that is the same
+			f.doc.Accounts[0].PrepaidTokens++ // the store creates no new version for an unchanged document
 			f.apply(f.doc)
 			f.awaitGeneration(2)
 			for _, s := range f.services {
@@ -180,25 +182,25 @@
 	}
 }
 
-// The platform is down. A job with a key cannot be claimed, so it is refused at
-// once as "not run" with when to come back, and truly does not run. Questions
-// to the model go on from tokens drawn before.
+// The store is unavailable. A request with an idempotency key cannot be claimed,
+// so it is refused at once as "not run" with a Retry-After, and does not run. Model
+// requests continue on tokens that were drawn before the outage.
 func TestStoreOutageRefusesTrulyUnrun(t *testing.T) {
 	f := newFleet(t, options{instances: 2, engines: 1, services: 1, prepaid: 1_000_000})
-	if a := ask(f.instances[0].address, crewKey, false, 5, "warm up"); !a.whole {
+	if a := askModel(f.instances[0].address, crewKey, false, 5, "warm up"); !a.whole {
 		t.Fatalf("got %d %s", a.status, a.body)
 	}
 	f.post(f.platform.address, "/faults", standin.Faults{Outage: true})
 	a := assign(f.instances[0].address, "job-1", "leak-17")
-	if !a.refusedUnrun() || a.header.Get("Retry-After") == "" {
+	if !a.refusedNotRun() || a.header.Get("Retry-After") == "" {
 		t.Errorf("got %d %s", a.status, a.body)
 	}
 	if runs := f.runsOf("leak-17"); runs != 0 {
 		t.Errorf("the refused job ran %d times", runs)
 	}
 	for range 5 {
-		if a := ask(f.instances[0].address, crewKey, true, 5, "pipe?"); !a.whole {
-			t.Errorf("a question in the outage: %d %s", a.status, a.body)
+		if a := askModel(f.instances[0].address, crewKey, true, 5, "pipe?"); !a.whole {
+			t.Errorf("a model request during the outage got %d %s", a.status, a.body)
 		}
 	}
 	f.post(f.platform.address, "/faults", standin.Faults{})
@@ -210,9 +212,9 @@
 	}
 }
 
-// Each claim's write takes effect and its answer is lost. The claimer reads back
-// and finds its own request's id; taking the loss for a failure would refuse
-// "not run" with the claim standing, or claim twice.
+// The write of each claim takes effect and its answer is lost. The instance reads
+// the claim back and finds its own request id; treating the loss as a failed write
+// would report "not run" while the claim exists, or claim twice.
 func TestLostStoreAnswersClaimOnce(t *testing.T) {
 	f := newFleet(t, options{instances: 2, services: 1, prepaid: 100_000})
 	for n := range 5 {
@@ -229,9 +231,9 @@
 	}
 }
 
-// A service is not there at all: no connection takes the request, so it moves on
-// to a replica that is, even though it may not be repeated, and with none left
-// the refusal "not run" is true.
+// An upstream accepts no connection. The request was sent to nobody, so even a
+// non-idempotent one moves on to another upstream; with no upstream left, the
+// refusal "not run" is true.
 func TestUnreachableServiceIsNotRun(t *testing.T) {
 	f := newFleet(t, options{instances: 1, services: 2, prepaid: 10_000, deadlineMillis: 3000})
 	f.services[0].kill()
@@ -239,16 +241,16 @@
 	for n := range 12 {
 		job := "leak-" + strings.Repeat("i", n+1)
 		a := assign(f.instances[0].address, job, job)
-		if !a.whole && !a.refusedUnrun() {
+		if !a.whole && !a.refusedNotRun() {
 			t.Errorf("got %d %s", a.status, a.body)
 		}
 		if ran := f.runsOf(job) == 1; ran != a.whole {
-			t.Errorf("%s: answered whole %v, ran %v", job, a.whole, ran)
+			t.Errorf("%s: answered whole is %v, ran is %v", job, a.whole, ran)
 		}
 	}
 	f.services[0].kill()
 	a := assign(f.instances[0].address, "last", "last")
-	if !a.refusedUnrun() {
+	if !a.refusedNotRun() {
 		t.Errorf("got %d %s", a.status, a.body)
 	}
 }
--- a/test/partition_test.go
+++ b/test/partition_test.go
@@ -6,16 +6,18 @@
 	"github.com/lavenderring/lavenderring/pkg/standin/relay"
 )
 
-// cutInstance cuts the way of all others to an instance, or mends it. It still
-// reaches them itself: a one-way partition, unless they are cut too.
-func (f *fleet) cutInstance(n int, cut bool) {
+// setPartitioned blocks or restores the connections from all other instances to
+// instance n. It still reaches them itself: the partition is one-way, unless the
+// others are partitioned too.
+func (f *fleet) setPartitioned(n int, cut bool) {
 	f.t.Helper()
-	f.post(f.relays[n], "/faults", relay.Faults{Cut: cut})
+	f.post(f.peerRelayControls[n], "/faults", relay.Faults{Cut: cut})
 }
 
+// awaitSilent waits until one instance considers count members silent.
 func (f *fleet) awaitSilent(at, count int) {
 	f.t.Helper()
-	f.await("silence", func() bool {
+	f.await("silent members", func() bool {
 		status, err := f.status(f.instances[at])
 		silent := 0
 		for _, m := range status.Members {
@@ -27,36 +29,37 @@
 	})
 }
 
-// The instances lose each other, first one of them in one direction, then all in
-// both, while crews keep asking at each and the budget runs out. Each goes on
-// alone with what it can draw from the store; nobody spends what another holds.
-// When they find each other again the books agree to the token.
+// The instances are partitioned from each other, first one of them in one
+// direction, then all in both, while clients keep sending to each and the budget
+// runs out. Each instance goes on with the tokens that it can draw from the store,
+// and none spends what another holds. After the partition has healed, bills and
+// ledger agree to the token.
 func TestPartitionNeverOverspends(t *testing.T) {
 	const prepaid = 60_000
-	f := newFleet(t, options{instances: 3, engines: 2, prepaid: prepaid, tokenMillis: 1, peerRelays: true})
+	f := newFleet(t, options{instances: 3, engines: 2, prepaid: prepaid, tokenMillis: 1, usePeerRelays: true})
 	l := startLoad(f, 6, 60)
-	l.awaitWhole(10)
-	f.cutInstance(0, true)
-	l.awaitWhole(30)
+	l.awaitWholeAnswers(10)
+	f.setPartitioned(0, true)
+	l.awaitWholeAnswers(30)
 	for n := range 3 {
-		f.cutInstance(n, true)
+		f.setPartitioned(n, true)
 	}
 	for n := range 3 {
 		f.awaitSilent(n, 2)
 	}
-	l.awaitWhole(60)
+	l.awaitWholeAnswers(60)
 	f.await("the budget to be used up", func() bool {
-		return ask(f.instances[0].address, crewKey, false, 60, question).refusedUnrun()
+		return askModel(f.instances[0].address, crewKey, false, 60, samplePrompt).refusedNotRun()
 	})
 	for n := range 3 {
-		f.cutInstance(n, false)
+		f.setPartitioned(n, false)
 	}
 	f.awaitMembers(3)
-	answers := l.end()
+	answers := l.finish()
 	f.stopAll()
-	checkBooks(t, f, answers, prepaid)
-	b := f.budget(crewBudget)
-	if billed := f.statement().Total(crewBudget); b.Spent() != billed {
-		t.Errorf("the bills say %d, the ledger %d", billed, b.Spent())
+	checkAccounting(t, f, answers, prepaid)
+	b := f.readBudget(crewBudget)
+	if billed := f.readStatement().Total(crewBudget); b.Spent() != billed {
+		t.Errorf("the bills total %d tokens, the ledger %d", billed, b.Spent())
 	}
 }
--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -22,64 +22,65 @@
 	"github.com/lavenderring/lavenderring/platform/standin"
 )
 
-// Figures of a fleet whose upstreams crash.
+// Parameters of the tests with crashing upstreams.
 const (
-	fatalBody = "ends what runs it"
-	// downFor is how long a crashed upstream is away, backAtOnce how long one whose supervisor
-	// starts it again before a refused connection shows the crash.
-	downFor    = 300 * time.Millisecond
-	backAtOnce = 10 * time.Millisecond
-	// ownSendings is how often one caller sends it through the own door.
-	ownSendings = 15
-	// betweenSendings is the pause of a caller that sends the same request again and again.
-	betweenSendings = 100 * time.Millisecond
-	// mostCrashes is how many upstreams a request may end: three until it is known, and three
+	// crashingBody crashes every upstream that runs it.
+	crashingBody = "ends what runs it"
+	// defaultDowntime is how long a crashed upstream is down. shortDowntime stands for a supervisor that
+	// restarts it before a refused connection reveals the crash.
+	defaultDowntime = 300 * time.Millisecond
+	shortDowntime   = 10 * time.Millisecond
+	// sendsPerKind is how often sendThroughEntry sends the crashing request of each kind.
+	sendsPerKind = 15
+	// sendInterval is the pause between two sends of the same request.
+	sendInterval = 100 * time.Millisecond
+	// maxCrashes is how many upstreams a request may crash: three until it is condemned, and three
 	// that are allowed later.
-	mostCrashes = 6
+	maxCrashes = 6
 )
 
-// crashes counts the upstreams that each request ended, by its body.
-type crashes struct {
+// crashCounter counts the upstreams that each request crashed, by the request's body.
+type crashCounter struct {
 	mu     sync.Mutex
 	bodies map[string]int
 }
 
-func (c *crashes) note(body string) {
+func (c *crashCounter) record(body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bodies[body]++
 }
 
-func (c *crashes) of(body string) int {
+func (c *crashCounter) count(body string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bodies[body]
 }
 
-// armUpstreams has the upstreams crash on fatal bodies and start again.
-func (f *routed) armUpstreams() *crashes {
-	c := &crashes{bodies: map[string]int{}}
-	for n, u := range f.plain {
-		f.arm(u, "jobs", n, c)
+// injectCrashes makes all upstreams crash on crashingBody and restart after f.downtime.
+func (f *routedFleet) injectCrashes() *crashCounter {
+	c := &crashCounter{bodies: map[string]int{}}
+	for n, u := range f.plainUpstreams {
+		f.injectCrash(u, "jobs", n, c)
 	}
 	for n, u := range f.engines {
-		f.arm(u, "models", n, c)
+		f.injectCrash(u, "models", n, c)
 	}
 	return c
 }
 
-func (f *routed) arm(u *standin.Upstream, service string, domain int, c *crashes) {
-	u.SetFaults(standin.UpstreamFaults{Fatal: fatalBody})
+func (f *routedFleet) injectCrash(u *standin.Upstream, service string, domain int, c *crashCounter) {
+	u.SetFaults(standin.UpstreamFaults{Fatal: crashingBody})
 	u.OnCrash = func(run standin.Run) {
-		c.note(run.Body)
-		if pause.For(f.t.Context(), f.downFor) {
-			f.startAgain(u, service, domain, c)
+		c.record(run.Body)
+		if pause.For(f.t.Context(), f.downtime) {
+			f.restartUpstream(u, service, domain, c)
 		}
 	}
 }
 
-// startAgain starts an upstream's next incarnation; a test that has ended needs none.
-func (f *routed) startAgain(old *standin.Upstream, service string, domain int, c *crashes) {
+// restartUpstream starts an upstream's next incarnation.
+func (f *routedFleet) restartUpstream(old *standin.Upstream, service string, domain int, c *crashCounter) {
 	next, err := standin.StartUpstream(old.ID, old.Address, old.Events)
 	if err != nil {
 		f.t.Errorf("upstream %s: %v", old.ID, err)
@@ -87,117 +88,118 @@
 	}
 	f.t.Cleanup(next.Close)
 	next.Born, next.Advertised = time.Now().UnixMilli(), old.Advertised
-	f.arm(next, service, domain, c)
-	f.enter(next, service, domain)
+	f.injectCrash(next, service, domain, c)
+	f.updateEntry(next, service, domain)
 }
 
-// Guards against a request that ends every upstream that runs it, and that its caller sends
-// again and again at any instance, for good.
+// Guards against a request that crashes every upstream that runs it and that its client keeps sending,
+// at any instance: it must be refused for good after a bounded number of crashes.
 func TestRequestThatCrashesUpstreamsIsSentOnAFewTimesOnly(t *testing.T) {
-	sendThroughRouter(newRouted(t, 3, 1_000_000), mostCrashes)
+	sendThroughRouter(newRoutedFleet(t, 3, 1_000_000), maxCrashes)
 }
 
-// sendThroughRouter sends a fatal request of each kind again and again.
-func sendThroughRouter(f *routed, most int) {
+// sendThroughRouter sends a crashing request of each kind repeatedly through all instances, and checks
+// that it crashes at least one and at most maxCrashes upstreams and is refused for good in the end.
+func sendThroughRouter(f *routedFleet, maxCrashes int) {
 	f.t.Helper()
-	defer f.explainQuarantine()
-	crashed := f.armUpstreams()
+	defer f.logQuarantine()
+	crashed := f.injectCrashes()
 	for _, route := range []string{"safe", "once", "stream", "resumable"} {
-		body := fatalBody + " on " + route
-		var last sending
+		body := crashingBody + " on " + route
+		var last response
 		for n := range 20 {
 			last = f.send(f.instances[n%len(f.instances)], fmt.Sprintf("%s-%d", route, n), route, body)
-			time.Sleep(betweenSendings)
+			time.Sleep(sendInterval)
 		}
-		if n := crashed.of(body); n == 0 || n > most {
-			f.t.Errorf("%s: %d upstreams ended", route, n)
+		if n := crashed.count(body); n == 0 || n > maxCrashes {
+			f.t.Errorf("%s: %d upstreams crashed, expected 1 to %d", route, n, maxCrashes)
 		}
 		if last.status != http.StatusServiceUnavailable || last.retryAfter != "" {
-			f.t.Errorf("%s: the last sending got %d, to come back after %q", route, last.status, last.retryAfter)
+			f.t.Errorf("%s: the last request got %d with Retry-After %q", route, last.status, last.retryAfter)
 		}
-		sound := f.send(f.instances[0], "sound-"+route, route, "sound")
-		if sound.status != http.StatusOK {
-			f.t.Errorf("%s: a sound request got %d", route, sound.status)
+		harmless := f.send(f.instances[0], "sound-"+route, route, "sound")
+		if harmless.status != http.StatusOK {
+			f.t.Errorf("%s: a harmless request got %d", route, harmless.status)
 		}
 	}
 }
 
-// Guards against crashes that are not counted where the upstream's address takes connections all the
-// while: only its next incarnation tells of them.
+// Guards against crashes that are not counted if the upstream's address accepts connections all the
+// time, as behind a proxy: only the upstream's next incarnation reveals the crash.
 func TestCrashIsKnownByTheNextIncarnation(t *testing.T) {
 	t.Run("router", func(t *testing.T) {
-		f := newRouted(t, 7, 1_000_000)
-		f.downFor = backAtOnce
-		f.putProxies()
+		f := newRoutedFleet(t, 7, 1_000_000)
+		f.downtime = shortDowntime
+		f.startProxies()
 		sendThroughRouter(f, quarantine.CondemnAtMost)
 	})
 	t.Run("own door", func(t *testing.T) {
-		o := options{instances: 7, engines: 3, services: 3, prepaid: 1_000_000, viaProxies: true}
-		sendThroughOwnDoor(t, o, backAtOnce, quarantine.CondemnAtMost)
+		o := options{instances: 7, engines: 3, services: 3, prepaid: 1_000_000, relayUpstreams: true}
+		sendThroughEntry(t, o, shortDowntime, quarantine.CondemnAtMost)
 	})
 }
 
-// explained are the events that tell how each instance came to its quarantine.
-var explained = []eventlog.Number{
+// quarantineEvents are the events that explain the state of an instance's quarantine.
+var quarantineEvents = []eventlog.Number{
 	eventlog.RequestBrokeOff, eventlog.RequestSuspected, eventlog.RequestCleared, eventlog.QuarantineLearned,
 	eventlog.QuarantineFault, eventlog.MemberJoined, eventlog.MemberSilent, eventlog.MemberLeft,
 	eventlog.MembersUnknown, eventlog.InstanceReady,
 }
 
-// explainQuarantine prints, if the test has failed, what each instance knows and how it came to it.
-func (f *routed) explainQuarantine() {
+// logQuarantine logs, if the test has failed, each instance's quarantine and the events that led to it.
+func (f *routedFleet) logQuarantine() {
 	if !f.t.Failed() {
 		return
 	}
 	for _, i := range f.instances {
-		f.t.Logf("%s knows %+v", i.settings, f.watched(i))
-		log, err := os.ReadFile(i.settings + ".log")
+		f.t.Logf("%s: quarantine %+v", i.settingsPath, f.quarantineViews(i))
+		log, err := os.ReadFile(i.settingsPath + ".log")
 		f.must(err)
 		for line := range strings.Lines(string(log)) {
-			if slices.ContainsFunc(explained, func(c eventlog.Number) bool { return strings.Contains(line, fmt.Sprintf(`"event":%d,`, c)) }) {
+			if slices.ContainsFunc(quarantineEvents, func(c eventlog.Number) bool { return strings.Contains(line, fmt.Sprintf(`"event":%d,`, c)) }) {
 				f.t.Log(strings.TrimSpace(line))
 			}
 		}
 	}
 }
 
-// putProxies puts a relay before each upstream, which takes connections also while the process behind
-// it is away.
-func (f *routed) putProxies() {
+// startProxies puts a relay in front of each upstream. The relay accepts connections also while the
+// process behind it is down.
+func (f *routedFleet) startProxies() {
 	f.t.Helper()
-	for n, u := range f.plain {
-		f.putProxy(u, "jobs", n)
+	for n, u := range f.plainUpstreams {
+		f.startProxy(u, "jobs", n)
 	}
 	for n, u := range f.engines {
-		f.putProxy(u, "models", n)
+		f.startProxy(u, "models", n)
 	}
 }
 
-func (f *routed) putProxy(u *standin.Upstream, service string, domain int) {
+func (f *routedFleet) startProxy(u *standin.Upstream, service string, domain int) {
 	f.t.Helper()
 	u.Advertised = freeAddress()
 	proxy, err := relay.Start(u.Advertised, "", u.Address)
 	f.must(err)
 	f.t.Cleanup(proxy.Close)
-	f.enter(u, service, domain)
+	f.updateEntry(u, service, domain)
 }
 
-// enter writes an upstream's entry over the one that stands.
-func (f *routed) enter(u *standin.Upstream, service string, domain int) {
+// updateEntry replaces an upstream's existing entry in the store.
+func (f *routedFleet) updateEntry(u *standin.Upstream, service string, domain int) {
 	f.t.Helper()
-	present, err := f.client.Get(f.t.Context(), "servers/"+u.ID)
+	current, err := f.client.Get(f.t.Context(), "servers/"+u.ID)
 	if err == nil {
-		_, err = f.client.Put(f.t.Context(), "servers/"+u.ID, u.Entry(service, domainOf(domain), false), present.Position)
+		_, err = f.client.Put(f.t.Context(), "servers/"+u.ID, u.Entry(service, domainOf(domain), false), current.Position)
 	}
 	if err != nil && f.t.Context().Err() == nil {
-		f.t.Errorf("entry of %s: %v", u.ID, err)
+		f.t.Errorf("update the entry of %s: %v", u.ID, err)
 	}
 }
 
-// condemn sends a body to one instance after the other until it is refused for good.
-func (f *routed) condemn(route, body string) {
+// sendUntilCondemned sends a body to one instance after the other until all refuse it for good.
+func (f *routedFleet) sendUntilCondemned(route, body string) {
 	f.t.Helper()
-	f.awaitRouted("refused for good", func() bool {
+	f.await("refused for good", func() bool {
 		for n, i := range f.instances {
 			a := f.send(i, fmt.Sprintf("c-%d-%d", n, time.Now().UnixNano()), route, body)
 			if a.status != http.StatusServiceUnavailable || a.retryAfter != "" {
@@ -208,17 +210,17 @@
 	})
 }
 
-// quarantineCommand runs the operators' command at an instance and returns what it prints.
-func quarantineCommand(i *routedInstance, args ...string) (string, error) {
-	all := append([]string{"quarantine", "--admin", i.admin}, args...)
+// runQuarantineCommand runs "lavenderring quarantine" against an instance and returns its output.
+func runQuarantineCommand(i *routedInstance, args ...string) (string, error) {
+	all := append([]string{"quarantine", "--admin", i.adminAddress}, args...)
 	out, err := exec.Command(filepath.Join(binaries, "lavenderring"), all...).CombinedOutput()
 	return string(out), err
 }
 
-// watched returns the requests that an instance suspects or does not run.
-func (f *routed) watched(i *routedInstance) []keeper.View {
+// quarantineViews returns the requests that an instance lists as suspected or condemned.
+func (f *routedFleet) quarantineViews(i *routedInstance) []keeper.View {
 	f.t.Helper()
-	out, err := quarantineCommand(i, "--json", "list")
+	out, err := runQuarantineCommand(i, "--json", "list")
 	if err != nil {
 		f.t.Fatalf("%v: %s", err, out)
 	}
@@ -227,171 +229,177 @@
 	return views
 }
 
-func (f *routed) awaitVerdict() {
+// awaitVerdict waits until the store has the condemned requests.
+func (f *routedFleet) awaitVerdict() {
 	f.t.Helper()
-	f.awaitRouted("stored verdict", func() bool {
+	f.await("stored verdict", func() bool {
 		_, err := f.client.Get(f.t.Context(), "quarantine/verdicts")
 		return err == nil
 	})
 }
 
-// Guards against a request that ends upstreams again once all instances were lost, with what they
-// knew, or after the store has gone back to before the verdict as well.
+// Guards against a condemned request that crashes upstreams again after all instances were lost, with
+// what they held in memory, or after a store rollback to a copy older than the verdict.
 func TestCondemnedRequestStaysSoAfterALossOfAll(t *testing.T) {
-	f := newRouted(t, 3, 1_000_000)
-	crashed := f.armUpstreams()
-	f.condemn("safe", fatalBody)
+	f := newRoutedFleet(t, 3, 1_000_000)
+	crashed := f.injectCrashes()
+	f.sendUntilCondemned("safe", crashingBody)
 	f.awaitVerdict()
 	f.store.GoBack(standin.Return{AwayMillis: 100, AgeMillis: time.Since(time.Unix(0, 0)).Milliseconds()})
-	f.writeAgain()
+	f.rewriteStore()
 	f.awaitVerdict()
-	before := crashed.of(fatalBody)
+	before := crashed.count(crashingBody)
 	for _, i := range f.instances {
 		i.kill()
 	}
 	for _, i := range f.instances {
-		i.process = f.run(i)
+		i.process = f.startProcess(i)
 	}
 	for _, i := range f.instances {
-		f.awaitRouted("ready", func() bool { return i.isReady() })
+		f.await("ready", func() bool { return i.isReady() })
 	}
-	// An instance is bound once it has been in touch for some seconds.
-	f.awaitRouted("known again", func() bool {
+	// An instance applies the verdict once it has been in contact with others for some seconds.
+	f.await("the verdict at every instance", func() bool {
 		for _, i := range f.instances {
-			if views := f.watched(i); len(views) != 1 || views[0].State != quarantine.Condemned {
+			if views := f.quarantineViews(i); len(views) != 1 || views[0].State != quarantine.Condemned {
 				return false
 			}
 		}
 		return true
 	})
 	for n := range 9 {
-		f.send(f.instances[n%3], fmt.Sprintf("again-%d", n), "safe", fatalBody)
+		f.send(f.instances[n%3], fmt.Sprintf("again-%d", n), "safe", crashingBody)
 	}
-	if after := crashed.of(fatalBody); after != before {
-		t.Errorf("%d upstreams ended before, %d after", before, after)
+	if after := crashed.count(crashingBody); after != before {
+		t.Errorf("%d upstreams crashed before the restart, %d after it", before, after)
 	}
 }
 
-// Guards against an instance that starts alone among others, knows nothing and sends a condemned
-// request on.
+// Guards against an instance that restarts while the others run and, knowing no verdicts yet, sends a
+// condemned request to an upstream.
 func TestStartingInstanceKnowsWhatIsCondemned(t *testing.T) {
-	f := newRouted(t, 2, 1_000_000)
-	crashed := f.armUpstreams()
-	f.condemn("once", fatalBody)
-	before := crashed.of(fatalBody)
+	f := newRoutedFleet(t, 2, 1_000_000)
+	crashed := f.injectCrashes()
+	f.sendUntilCondemned("once", crashingBody)
+	before := crashed.count(crashingBody)
 	i := f.instances[0]
 	i.kill()
-	i.process = f.run(i)
-	f.awaitRouted("ready", func() bool { return i.isReady() })
+	i.process = f.startProcess(i)
+	f.await("ready", func() bool { return i.isReady() })
 	for n := range 5 {
-		f.send(i, fmt.Sprintf("again-%d", n), "once", fatalBody)
+		f.send(i, fmt.Sprintf("again-%d", n), "once", crashingBody)
 	}
-	if after := crashed.of(fatalBody); after != before {
-		t.Errorf("%d upstreams ended before, %d after", before, after)
+	if after := crashed.count(crashingBody); after != before {
+		t.Errorf("%d upstreams crashed before the restart, %d after it", before, after)
 	}
 }
 
-// Guards against innocent requests that are refused because they ran beside a fatal one, or
-// because the same upstreams were restarted under them.
+// Guards against harmless requests that are refused for good because they ran beside a crashing one, or
+// because the upstreams that they ran on were restarted after it.
 func TestRequestsBesideAFatalOneAreServedAgain(t *testing.T) {
-	f := newRouted(t, 2, 1_000_000)
-	f.armUpstreams()
+	f := newRoutedFleet(t, 2, 1_000_000)
+	f.injectCrashes()
 	for n := range 12 {
 		var beside sync.WaitGroup
-		beside.Go(func() { f.send(f.instances[n%2], fmt.Sprintf("fatal-%d", n), "safe", fatalBody) })
+		beside.Go(func() { f.send(f.instances[n%2], fmt.Sprintf("fatal-%d", n), "safe", crashingBody) })
 		beside.Go(func() { f.send(f.instances[1-n%2], fmt.Sprintf("beside-%d", n), "safe", "beside") })
 		beside.Wait()
 	}
 	for n, i := range f.instances {
-		f.awaitRouted("served", func() bool {
+		f.await("served", func() bool {
 			return f.send(i, fmt.Sprintf("after-%d-%d", n, time.Now().UnixNano()), "safe", "beside").status == http.StatusOK
 		})
 	}
 }
 
-// Guards against a released request that an instance or the store keeps refusing.
+// Guards against a released request that an instance or the store keeps condemned.
 func TestReleasedRequestRunsAtAllInstances(t *testing.T) {
-	f := newRouted(t, 2, 1_000_000)
-	f.armUpstreams()
-	f.condemn("safe", fatalBody)
-	id := f.watched(f.instances[0])[0].ID
-	if out, err := quarantineCommand(f.instances[0], "show", id); err != nil || !strings.Contains(out, "condemned") {
+	f := newRoutedFleet(t, 2, 1_000_000)
+	f.injectCrashes()
+	f.sendUntilCondemned("safe", crashingBody)
+	id := f.quarantineViews(f.instances[0])[0].ID
+	if out, err := runQuarantineCommand(f.instances[0], "show", id); err != nil || !strings.Contains(out, "condemned") {
 		t.Errorf("show: %v: %s", err, out)
 	}
-	if out, err := quarantineCommand(f.instances[0], "release", id); err != nil {
+	if out, err := runQuarantineCommand(f.instances[0], "release", id); err != nil {
 		t.Errorf("release: %v: %s", err, out)
 	}
 	for _, i := range f.instances {
-		f.awaitRouted("nothing watched", func() bool { return len(f.watched(i)) == 0 })
+		f.await("an empty quarantine", func() bool { return len(f.quarantineViews(i)) == 0 })
 	}
-	if out, err := quarantineCommand(f.instances[0], "release", id); err == nil {
-		t.Errorf("a second release is done: %s", out)
+	if out, err := runQuarantineCommand(f.instances[0], "release", id); err == nil {
+		t.Errorf("a second release of request %s succeeded: %s", id, out)
 	}
 }
 
-// Guards against a request that ends every upstream that runs it through the own door: plain
-// services, requests that may not be repeated, and streams of engines.
+// Guards against a request that is sent through package entry ("lavenderring serve") and crashes every
+// upstream that runs it: idempotent and non-idempotent requests to plain services, and streams of
+// engines.
 func TestOwnDoorSendsAFatalRequestAFewTimesOnly(t *testing.T) {
-	sendThroughOwnDoor(t, options{instances: 3, engines: 2, services: 2, prepaid: 1_000_000}, downFor, mostCrashes)
+	sendThroughEntry(t, options{instances: 3, engines: 2, services: 2, prepaid: 1_000_000}, defaultDowntime, maxCrashes)
 }
 
-// sendThroughOwnDoor sends a fatal request of each kind again and again through the own doors of a
-// fleet whose upstreams are away for a time after each crash.
-func sendThroughOwnDoor(t *testing.T, o options, downFor time.Duration, most int64) {
+// sendThroughEntry sends a crashing request of each kind repeatedly to instances that run package entry
+// ("lavenderring serve"). Crashed upstreams are down for downtime.
+func sendThroughEntry(t *testing.T, o options, downtime time.Duration, maxCrashes int64) {
 	t.Helper()
 	f := newFleet(t, o)
-	s := &supervisor{downFor: downFor}
+	s := &supervisor{downtime: downtime}
 	supervise(f, s, f.services, "plain")
 	supervise(f, s, f.engines, "engine")
 	t.Cleanup(s.running.Wait)
-	sendings := map[string]func(n int) answer{
+	senders := map[string]func(n int) answer{
 		"idempotent": func(n int) answer {
-			return call(f.instances[n%o.instances].address, crewKey, http.MethodPost, "/services/jobs/x", "", []byte(fatalBody))
+			return call(f.instances[n%o.instances].address, crewKey, http.MethodPost, "/services/jobs/x", "", []byte(crashingBody))
 		},
 		"once, with a key each": func(n int) answer {
-			return assign(f.instances[n%o.instances].address, fmt.Sprint("key-", n), fatalBody)
+			return assign(f.instances[n%o.instances].address, fmt.Sprint("key-", n), crashingBody)
+		},
+		"stream": func(n int) answer {
+			return askModel(f.instances[n%o.instances].address, crewKey, true, 20, crashingBody)
 		},
-		"stream": func(n int) answer { return ask(f.instances[n%o.instances].address, crewKey, true, 20, fatalBody) },
 	}
-	for name, send := range sendings {
+	for name, send := range senders {
 		var last answer
 		before := s.crashes.Load()
-		for n := range ownSendings {
+		for n := range sendsPerKind {
 			last = send(n)
-			time.Sleep(betweenSendings)
+			time.Sleep(sendInterval)
 		}
-		if ended := s.crashes.Load() - before; ended == 0 || ended > most {
-			t.Errorf("%s: %d upstreams ended", name, ended)
+		if crashed := s.crashes.Load() - before; crashed == 0 || crashed > maxCrashes {
+			t.Errorf("%s: %d upstreams crashed, expected 1 to %d", name, crashed, maxCrashes)
 		}
-		if last.status != http.StatusUnprocessableEntity || !last.refusedUnrun() || last.problem.Title != "request-quarantined" {
-			t.Errorf("%s: the last sending got %d %s", name, last.status, last.body)
+		if last.status != http.StatusUnprocessableEntity || !last.refusedNotRun() || last.problem.Title != "request-quarantined" {
+			t.Errorf("%s: the last request got %d %s", name, last.status, last.body)
 		}
 	}
 }
 
-// supervisor starts upstreams again that ended, and counts that.
+// supervisor restarts upstreams that crashed and counts the crashes.
 type supervisor struct {
-	downFor time.Duration
-	crashes atomic.Int64
-	running sync.WaitGroup
+	downtime time.Duration
+	crashes  atomic.Int64
+	running  sync.WaitGroup
 }
 
-// supervise takes the place of upstreams that the fleet has started, until the test ends.
+// supervise replaces upstreams that the fleet has started by supervised ones that crash on crashingBody,
+// until the test ends.
 func supervise(f *fleet, s *supervisor, upstreams []*process, kind string) {
 	for _, u := range upstreams {
 		u.kill()
-		s.running.Go(func() { s.keep(f.t, kind, u.behind) })
-		f.awaitListening(u.behind)
+		s.running.Go(func() { s.run(f.t, kind, u.listenAddress) })
+		f.awaitListening(u.listenAddress)
 	}
 }
 
-func (s *supervisor) keep(t testing.TB, kind, address string) {
+// run keeps one upstream process running until the test ends.
+func (s *supervisor) run(t testing.TB, kind, address string) {
 	for t.Context().Err() == nil {
-		cmd := exec.CommandContext(t.Context(), filepath.Join(binaries, "standin"), kind, "--listen", address, "--fatal", fatalBody)
+		cmd := exec.CommandContext(t.Context(), filepath.Join(binaries, "standin"), kind, "--listen", address, "--fatal", crashingBody)
 		if cmd.Run() != nil && t.Context().Err() == nil {
 			s.crashes.Add(1)
 		}
-		if !pause.For(t.Context(), s.downFor) {
+		if !pause.For(t.Context(), s.downtime) {
 			return
 		}
 	}
--- a/test/race_on_test.go
+++ b/test/race_on_test.go
@@ -2,6 +2,7 @@
 
 package test
 
-// raceFlags builds the programs with the race detector when the tests have it. A
-// race ends the program, which the test that needs it notices.
+// raceFlags builds the programs with the race detector if the tests are built with
+// it. A data race ends the program (GORACE=halt_on_error=1), and reportRace fails the
+// test with what the detector printed.
 var raceFlags = []string{"-race"}
--- a/test/recovery_test.go
+++ b/test/recovery_test.go
@@ -11,15 +11,15 @@
 	"github.com/lavenderring/lavenderring/platform/standin"
 )
 
-// drawerOf returns the instance that has drawn most of the account's tokens, by the ledger.
-func (f *routed) drawerOf() *routedInstance {
+// findDrawer returns the instance that, by the ledger, has drawn the most tokens of the account.
+func (f *routedFleet) findDrawer() *routedInstance {
 	f.t.Helper()
 	var most int64
 	drawer := ""
 	for n := range 4 {
 		object, err := f.client.Get(f.t.Context(), fmt.Sprintf("ledgers/%04d", n))
 		if err != nil {
-			continue // nobody has written to this one
+			continue // no instance has written this shard yet
 		}
 		shard, err := prepaid.DecodeShard(object.Value)
 		f.must(err)
@@ -34,12 +34,12 @@
 			return i
 		}
 	}
-	f.t.Fatalf("nobody has drawn: %q", drawer)
+	f.t.Fatalf("the ledger names no running instance that has drawn tokens: %q", drawer)
 	return nil
 }
 
-// spent returns what the engines have run, in tokens.
-func (f *routed) spent() int64 {
+// spentTokens returns the cost in tokens of everything that the engines have run.
+func (f *routedFleet) spentTokens() int64 {
 	var cost int64
 	for _, engine := range f.engines {
 		for _, run := range engine.Runs() {
@@ -49,11 +49,12 @@
 	return cost
 }
 
-// writeAgain writes what operators and upstreams write when the store has gone back.
-func (f *routed) writeAgain() {
+// rewriteStore writes the configuration and the upstreams' entries again, as operators and upstreams do
+// after a store rollback.
+func (f *routedFleet) rewriteStore() {
 	f.t.Helper()
-	f.configure()
-	for n, u := range f.plain {
+	f.writeConfig()
+	for n, u := range f.plainUpstreams {
 		f.store.Announce(u, "jobs", domainOf(n), u.Address, false)
 	}
 	for n, u := range f.engines {
@@ -61,22 +62,23 @@
 	}
 }
 
-// An account spends more than it prepaid. Its tokens were drawn, acknowledged and spent; then the
-// store came back from a copy that is older than the draws, and the instance that had made them
-// died. The others see a ledger in which the tokens are free, and draw them again.
+// Guards against an account that spends more than it prepaid after a store rollback. Its tokens were
+// drawn, acknowledged and spent; then the store came back from a copy that is older than the draws, and
+// the instance that had made them died. The others read a ledger in which the tokens are free, and
+// would draw them again.
 func TestNothingIsSpentTwiceAfterTheStoreWentBack(t *testing.T) {
 	const streams = 40
-	f := newRouted(t, 3, streams*(promptTokens+streamEvents))
+	f := newRoutedFleet(t, 3, streams*(promptTokens+streamEvents))
 	time.Sleep(time.Second)
-	began := time.Now()
+	start := time.Now()
 	for n := range streams * 3 / 4 {
 		f.send(f.instances[n%3], fmt.Sprintf("before-%d", n), "stream", "x")
 	}
-	time.Sleep(1200 * time.Millisecond) // two reports of each instance
-	drawer := f.drawerOf()
-	f.store.GoBack(standin.Return{AwayMillis: 300, AgeMillis: time.Since(began).Milliseconds() + 200})
+	time.Sleep(1200 * time.Millisecond) // time for two reports of each instance
+	drawer := f.findDrawer()
+	f.store.GoBack(standin.Return{AwayMillis: 300, AgeMillis: time.Since(start).Milliseconds() + 200})
 	drawer.kill()
-	f.writeAgain()
+	f.rewriteStore()
 	served := 0
 	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); {
 		for n, i := range f.instances {
@@ -85,47 +87,49 @@
 			}
 		}
 	}
-	if spent := f.spent(); spent > f.prepaid {
-		t.Errorf("%d tokens of %d prepaid were spent, %d streams after the store went back", spent, f.prepaid, served)
+	if spent := f.spentTokens(); spent > f.prepaid {
+		t.Errorf("%d tokens of %d prepaid were spent, %d streams after the store rollback", spent, f.prepaid, served)
 	}
 }
 
-// A dropped route is served, and an upstream that leaves gets work, for as long as the store's
-// count of changes is below what the instances had seen: it has gone back, what is written there
-// again has lower versions, and a copy moved to higher ones only.
+// Guards against a removed route that is still served, and a leaving upstream that still gets requests,
+// for as long as the store's revision is below the one that the instances had seen. After a store
+// rollback, what is written again has lower versions, which an instance that accepts higher versions
+// only would ignore.
 func TestChangesAreInForceAfterTheStoreWentBack(t *testing.T) {
-	const inForceWithin = 8 * time.Second // four times the bound, on a busy machine
-	f := newRouted(t, 3, 1_000_000)
+	const maxDelay = 8 * time.Second // four times the 2 s bound, as room for a busy machine
+	f := newRoutedFleet(t, 3, 1_000_000)
 	time.Sleep(time.Second)
-	began := time.Now()
+	start := time.Now()
 	for range 40 {
-		f.configure()
+		f.writeConfig()
 	}
 	time.Sleep(time.Second)
-	f.store.GoBack(standin.Return{AwayMillis: 300, AgeMillis: time.Since(began).Milliseconds() + 200})
-	f.writeAgain()
-	f.without["safe"] = true
-	f.configure()
-	leaving := f.plain[0]
-	f.leave(leaving)
-	if took := f.awaitChanges(leaving); took > inForceWithin {
-		t.Errorf("the changes took %v to be in force", took)
+	f.store.GoBack(standin.Return{AwayMillis: 300, AgeMillis: time.Since(start).Milliseconds() + 200})
+	f.rewriteStore()
+	f.omittedRoutes["safe"] = true
+	f.writeConfig()
+	leaving := f.plainUpstreams[0]
+	f.markLeaving(leaving)
+	if took := f.awaitChangesInForce(leaving); took > maxDelay {
+		t.Errorf("the changes took %v to be in force, more than %v", took, maxDelay)
 	}
 }
 
-// A job is booked twice. Its key was claimed and the job ran; then the store came back from a copy
-// that is older than the claim, and the desk's retry claims the key anew.
+// Guards against a request that runs twice after a store rollback. Its idempotency key was claimed and
+// it ran; then the store came back from a copy that is older than the claim, and the client's retry
+// would claim the key again.
 func TestNothingRunsTwiceAfterTheStoreWentBack(t *testing.T) {
 	f := newFleet(t, options{instances: 3, services: 1, prepaid: 10_000})
 	time.Sleep(time.Second)
 	if a := assign(f.instances[0].address, "job-1", "leak-17"); !a.whole {
 		t.Fatalf("got %d %s", a.status, a.body)
 	}
-	time.Sleep(300 * time.Millisecond) // its outcome is recorded
+	time.Sleep(300 * time.Millisecond) // until the outcome is recorded
 	f.post(f.platform.address, "/go-back", standin.Return{AwayMillis: 200, AgeMillis: 900})
 	time.Sleep(time.Second)
 	a := assign(f.instances[1].address, "job-1", "leak-17")
-	if runs := f.runsOf("leak-17"); runs != 1 || a.refusedUnrun() {
+	if runs := f.runsOf("leak-17"); runs != 1 || a.refusedNotRun() {
 		t.Errorf("the job ran %d times; the retry got %d %s", runs, a.status, a.body)
 	}
 }
--- a/test/route_harness_test.go
+++ b/test/route_harness_test.go
@@ -17,74 +17,75 @@
 	"github.com/lavenderring/lavenderring/platform/standin"
 )
 
-// routed is a fleet on the users' platform: the store's stand-in, upstreams, and
-// instances as processes of their own.
-type routed struct {
-	t         testing.TB
-	store     *standin.Server
-	client    *platform.Client
-	address   string
-	plain     []*standin.Upstream
-	engines   []*standin.Upstream
-	instances []*routedInstance
-	version   int
-	prepaid   int64
-	// without names routes that the configuration leaves out.
-	without map[string]bool
-	// downFor is how long a crashed upstream is away.
-	downFor time.Duration
+// routedFleet is a fleet on the users' platform: the stand-ins of the store and of the
+// upstreams, and instances that run package router ("lavenderring route") as separate
+// processes.
+type routedFleet struct {
+	t              testing.TB
+	store          *standin.Server
+	client         *platform.Client
+	address        string
+	plainUpstreams []*standin.Upstream
+	engines        []*standin.Upstream
+	instances      []*routedInstance
+	version        int
+	prepaid        int64
+	// omittedRoutes names the routes that the configuration leaves out.
+	omittedRoutes map[string]bool
+	// downtime is how long a crashed upstream is down.
+	downtime time.Duration
 }
 
 type routedInstance struct {
 	*process
-	clients, ready, peers, admin, settings string
+	clientAddress, readyAddress, peerAddress, adminAddress, settingsPath string
 }
 
-// Figures of the fleet's configuration.
+// Parameters of the fleet's configuration.
 const (
 	routedHost   = "fleet.example"
 	routedKey    = "key-of-crew"
 	streamEvents = 6
-	// streamTokens is what one stream costs at most: its prompt, and events of one
-	// token each.
+	// promptTokens and outputTokens bound what one stream costs: its prompt, and events
+	// of one token each.
 	promptTokens, outputTokens = 100, 20
 )
 
-func newRouted(t testing.TB, instances int, prepaid int64) *routed {
+func newRoutedFleet(t testing.TB, instances int, prepaid int64) *routedFleet {
 	t.Helper()
-	f := &routed{t: t, address: freeAddress(), prepaid: prepaid, without: map[string]bool{}, downFor: downFor}
+	f := &routedFleet{t: t, address: freeAddress(), prepaid: prepaid, omittedRoutes: map[string]bool{}, downtime: defaultDowntime}
 	var err error
 	f.store, err = standin.Start(f.address)
 	f.must(err)
 	t.Cleanup(f.store.Close)
 	f.client = platform.NewClient(f.address, 5*time.Second, nil)
 	for n := range 3 {
-		f.plain = append(f.plain, f.startUpstream(fmt.Sprintf("p%d", n), "jobs", 0, n))
+		f.plainUpstreams = append(f.plainUpstreams, f.startUpstream(fmt.Sprintf("p%d", n), "jobs", 0, n))
 		f.engines = append(f.engines, f.startUpstream(fmt.Sprintf("e%d", n), "models", streamEvents, n))
 	}
-	f.configure()
+	f.writeConfig()
 	for n := range instances {
 		f.instances = append(f.instances, f.startInstance(n))
 	}
 	for _, i := range f.instances {
-		f.awaitRouted("ready", func() bool { return i.isReady() })
+		f.await("ready", func() bool { return i.isReady() })
 	}
 	return f
 }
 
-func (f *routed) must(err error) {
+func (f *routedFleet) must(err error) {
 	f.t.Helper()
 	if err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *routed) awaitRouted(what string, done func() bool) {
+func (f *routedFleet) await(what string, done func() bool) {
 	f.t.Helper()
 	await(f.t, what, done)
 }
 
-func (f *routed) startUpstream(id, service string, events, domain int) *standin.Upstream {
+func (f *routedFleet) startUpstream(id, service string, events, domain int) *standin.Upstream {
 	u, err := standin.StartUpstream(id, freeAddress(), events)
 	f.must(err)
 	f.t.Cleanup(u.Close)
@@ -93,8 +94,8 @@
 	return u
 }
 
-// leave has a plain upstream of the first domain say that it leaves.
-func (f *routed) leave(u *standin.Upstream) {
+// markLeaving writes the entry of a plain upstream of the first domain as leaving.
+func (f *routedFleet) markLeaving(u *standin.Upstream) {
 	f.t.Helper()
 	object, err := f.client.Get(f.t.Context(), "servers/"+u.ID)
 	f.must(err)
@@ -102,8 +103,8 @@
 	f.must(err)
 }
 
-// configure writes the configuration under the next version.
-func (f *routed) configure() {
+// writeConfig writes the configuration under the next version.
+func (f *routedFleet) writeConfig() {
 	f.t.Helper()
 	f.version++
 	config := &routing.Config{
@@ -119,7 +120,7 @@
 		},
 	}
 	add := func(name string, kind routing.Kind, service string, attempts int, resumable bool) {
-		if f.without[name] {
+		if f.omittedRoutes[name] {
 			return
 		}
 		config.Routes = append(config.Routes, routing.Route{
@@ -134,13 +135,13 @@
 	add("resumable", routing.Stream, "models", 2, true)
 	value, err := platform.EncodeConfig(config)
 	f.must(err)
-	present, _ := f.client.Get(f.t.Context(), "config/main") // none at first
-	_, err = f.client.Put(f.t.Context(), "config/main", value, present.Position)
+	current, _ := f.client.Get(f.t.Context(), "config/main") // not found before the first write
+	_, err = f.client.Put(f.t.Context(), "config/main", value, current.Position)
 	f.must(err)
 }
 
-func (f *routed) startInstance(n int) *routedInstance {
-	i := &routedInstance{clients: freeAddress(), ready: freeAddress(), peers: freeAddress(), admin: freeAddress()}
+func (f *routedFleet) startInstance(n int) *routedInstance {
+	i := &routedInstance{clientAddress: freeAddress(), readyAddress: freeAddress(), peerAddress: freeAddress(), adminAddress: freeAddress()}
 	text := fmt.Sprintf(`name = "edge-%d"
 region = "r"
 domain = %q
@@ -150,22 +151,22 @@
 admin_address = %q
 store_address = %q
 grace_seconds = 6.0
-`, n, domainOf(n), i.clients, i.ready, i.peers, i.admin, f.address)
-	i.settings = filepath.Join(f.t.TempDir(), fmt.Sprintf("edge-%d.toml", n))
-	f.must(os.WriteFile(i.settings, []byte(text), 0o600))
-	i.process = f.run(i)
+`, n, domainOf(n), i.clientAddress, i.readyAddress, i.peerAddress, i.adminAddress, f.address)
+	i.settingsPath = filepath.Join(f.t.TempDir(), fmt.Sprintf("edge-%d.toml", n))
+	f.must(os.WriteFile(i.settingsPath, []byte(text), 0o600))
+	i.process = f.startProcess(i)
 	return i
 }
 
-func (f *routed) run(i *routedInstance) *process {
-	log, err := os.Create(i.settings + ".log")
+func (f *routedFleet) startProcess(i *routedInstance) *process {
+	log, err := os.Create(i.settingsPath + ".log")
 	f.must(err)
-	f.t.Cleanup(func() { tellRace(f.t, log.Name()) })
-	return start(f.t, log, "lavenderring", "route", i.settings)
+	f.t.Cleanup(func() { reportRace(f.t, log.Name()) })
+	return start(f.t, log, "lavenderring", "route", i.settingsPath)
 }
 
 func (i *routedInstance) isReady() bool {
-	resp, err := http.Get("http://" + i.ready + platform.ReadyPath)
+	resp, err := http.Get("http://" + i.readyAddress + platform.ReadyPath)
 	if err != nil {
 		return false
 	}
@@ -173,8 +174,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// sending is a client's request, and what became of it.
-type sending struct {
+// response is the result of a client's request.
+type response struct {
 	status     int
 	body       string
 	header     http.Header
@@ -182,34 +183,34 @@
 	retryAfter string
 }
 
-// send sends one request on a connection of its own and reads the whole answer.
-func (f *routed) send(i *routedInstance, id, route, body string) sending {
+// send sends one request on a new connection and reads the whole answer.
+func (f *routedFleet) send(i *routedInstance, id, route, body string) response {
 	f.t.Helper()
-	names := platform.UpstreamHeaders
-	req, err := http.NewRequest(http.MethodPost, "http://"+i.clients+"/"+route+"/x?q=%2F", bytes.NewBufferString(body))
+	headers := platform.UpstreamHeaders
+	req, err := http.NewRequest(http.MethodPost, "http://"+i.clientAddress+"/"+route+"/x?q=%2F", bytes.NewBufferString(body))
 	f.must(err)
 	req.Host = routedHost
 	req.Header.Set("Authorization", "Bearer "+routedKey)
-	req.Header.Set(names.RequestID, id)
-	req.Header.Set(names.Deadline, "2500")
-	req.Header.Set(names.Tokens, fmt.Sprintf("%d,%d", promptTokens, outputTokens))
+	req.Header.Set(headers.RequestID, id)
+	req.Header.Set(headers.Deadline, "2500")
+	req.Header.Set(headers.Tokens, fmt.Sprintf("%d,%d", promptTokens, outputTokens))
 	transport := &http.Transport{DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return sending{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	read, err := io.ReadAll(resp.Body)
-	return sending{
+	return response{
 		status: resp.StatusCode, body: string(read), header: resp.Header, err: err,
 		retryAfter: resp.Header.Get("Retry-After"),
 	}
 }
 
-// raw sends bytes as they are and returns what comes back until the connection
-// ends or falls silent.
-func raw(t testing.TB, address, text string) string {
+// sendRaw sends text unchanged and returns what is received within 700 ms or until the
+// connection ends.
+func sendRaw(t testing.TB, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -222,10 +223,10 @@
 	return string(answer)
 }
 
-// runsOf returns the runs of one sending at all upstreams.
-func (f *routed) runsOf(id string) []standin.Run {
+// runsOf returns the runs of one request at all upstreams.
+func (f *routedFleet) runsOf(id string) []standin.Run {
 	var runs []standin.Run
-	for _, u := range append(append([]*standin.Upstream{}, f.plain...), f.engines...) {
+	for _, u := range append(append([]*standin.Upstream{}, f.plainUpstreams...), f.engines...) {
 		for _, run := range u.Runs() {
 			if run.ID == id {
 				runs = append(runs, run)
@@ -235,14 +236,14 @@
 	return runs
 }
 
-func (f *routed) allFaults(upstreams []*standin.Upstream, faults standin.UpstreamFaults) {
+func (f *routedFleet) setFaults(upstreams []*standin.Upstream, faults standin.UpstreamFaults) {
 	for _, u := range upstreams {
 		u.SetFaults(faults)
 	}
 }
 
-func (f *routed) appendSettings(i *routedInstance, text string) {
-	present, err := os.ReadFile(i.settings)
+func (f *routedFleet) appendSettings(i *routedInstance, text string) {
+	current, err := os.ReadFile(i.settingsPath)
 	f.must(err)
-	f.must(os.WriteFile(i.settings, append(present, text...), 0o600))
+	f.must(os.WriteFile(i.settingsPath, append(current, text...), 0o600))
 }
--- a/test/session_test.go
+++ b/test/session_test.go
@@ -19,22 +19,23 @@
 	tokenPattern = regexp.MustCompile(`"content":"[0-9a-f]+\.(\d+) `)
 )
 
-// session writes down what the callers of one whole session see.
+// session records the answers that the clients of a session get.
 type session struct {
 	t     *testing.T
 	lines strings.Builder
 }
 
-func (s *session) say(format string, args ...any) { fmt.Fprintf(&s.lines, format+"\n", args...) }
+func (s *session) printf(format string, args ...any) { fmt.Fprintf(&s.lines, format+"\n", args...) }
 
-// tell writes one exchange, without what differs from run to run.
-func (s *session) tell(what string, a answer) {
+// record adds one answer, with values that differ from run to run replaced.
+func (s *session) record(label string, a answer) {
 	body := ulidPattern.ReplaceAllString(a.body, "REQUEST")
 	body = tokenPattern.ReplaceAllString(body, `"content":"token.$1 `)
-	s.say("## %s\nstatus %d, outcome %q, retry after %q\n%s", what, a.status,
+	s.printf("## %s\nstatus %d, outcome %q, retry after %q\n%s", label, a.status,
 		a.header.Get("X-Outcome"), a.header.Get("Retry-After"), strings.TrimSpace(body))
 }
 
+// compare checks the session against a golden file, after rewriting the file if -update is set.
 func (s *session) compare(path string) {
 	s.t.Helper()
 	got := s.lines.String()
@@ -52,31 +53,31 @@
 	}
 }
 
-// One whole session as its callers see it: configured, asked, streamed, booked,
-// refused in every way, through an outage of the store, and drained.
+// A whole session as clients see it: model requests, streamed and not, requests to a
+// plain service, refusals of each kind, an outage of the store, and a planned stop.
 func TestWholeSession(t *testing.T) {
 	f := newFleet(t, options{instances: 1, engines: 1, services: 1, prepaid: 4000, tokenMillis: 1})
 	s := &session{t: t}
-	at := f.instances[0].address
+	address := f.instances[0].address
 	plainPath := "/services/jobs/assign"
-	s.tell("no API key", call(at, "", http.MethodPost, plainPath, "", nil))
-	s.tell("a wrong API key", ask(at, "guessed", true, 1, question))
-	s.tell("a body that is no request", call(at, crewKey, http.MethodPost, "/v1/chat/completions", "", []byte("{")))
-	s.tell("an unknown model", call(at, crewKey, http.MethodPost, "/v1/chat/completions", "",
+	s.record("no API key", call(address, "", http.MethodPost, plainPath, "", nil))
+	s.record("a wrong API key", askModel(address, "guessed", true, 1, samplePrompt))
+	s.record("a body that is no request", call(address, crewKey, http.MethodPost, "/v1/chat/completions", "", []byte("{")))
+	s.record("an unknown model", call(address, crewKey, http.MethodPost, "/v1/chat/completions", "",
 		[]byte(`{"model":"x","messages":[{"role":"user","content":"?"}]}`)))
-	s.tell("an unknown plain service", call(at, crewKey, http.MethodGet, "/services/none/x", "", nil))
-	s.tell("a body above the limit", call(at, crewKey, http.MethodPost, plainPath, "", make([]byte, 300_000)))
-	s.tell("a streamed answer of one token", ask(at, crewKey, true, 1, question))
-	s.tell("a whole answer of one token", ask(at, crewKey, false, 1, question))
-	s.tell("a job", assign(at, "key-1", "leak-1"))
-	s.tell("the same job again", assign(at, "key-1", "leak-1"))
-	s.tell("another job under its key", assign(at, "key-1", "leak-2"))
-	s.tell("a question above the budget", ask(at, crewKey, true, 400, strings.Repeat("long ", 900)))
+	s.record("an unknown plain service", call(address, crewKey, http.MethodGet, "/services/none/x", "", nil))
+	s.record("a body above the limit", call(address, crewKey, http.MethodPost, plainPath, "", make([]byte, 300_000)))
+	s.record("a streamed answer of one token", askModel(address, crewKey, true, 1, samplePrompt))
+	s.record("a whole answer of one token", askModel(address, crewKey, false, 1, samplePrompt))
+	s.record("a job", assign(address, "key-1", "leak-1"))
+	s.record("the same job again", assign(address, "key-1", "leak-1"))
+	s.record("another job under its key", assign(address, "key-1", "leak-2"))
+	s.record("a question above the budget", askModel(address, crewKey, true, 400, strings.Repeat("long ", 900)))
 	f.post(f.platform.address, "/faults", standin.Faults{Outage: true})
-	s.tell("a job while the store is down", assign(at, "key-3", "leak-3"))
+	s.record("a job while the store is down", assign(address, "key-3", "leak-3"))
 	f.post(f.platform.address, "/faults", standin.Faults{})
 	f.stopAll()
-	b := f.budget(crewBudget)
-	s.say("## the books\nprepaid %d, spent %d, free %d, in doubt %d", b.Prepaid, b.Spent(), b.Free(), b.InDoubt())
+	b := f.readBudget(crewBudget)
+	s.printf("## the books\nprepaid %d, spent %d, free %d, in doubt %d", b.Prepaid, b.Spent(), b.Free(), b.InDoubt())
 	s.compare("testdata/session.golden")
 }
--- a/test/stream_test.go
+++ b/test/stream_test.go
@@ -10,59 +10,60 @@
 	"github.com/lavenderring/lavenderring/pkg/standin/relay"
 )
 
-// wholeText is what an engine's whole answer to a request reads; a cut, crossed
-// or doubled one differs.
-func wholeText(f *fleet, request string) string {
+// expectedText returns the text of the engines' whole answer to a request. An answer
+// that is truncated, duplicated or another request's differs from it.
+func expectedText(f *fleet, request string) string {
 	var text strings.Builder
-	tokens := f.engineUsage()[request] - promptTokensOf(question)
+	tokens := f.engineUsage()[request] - promptTokensOf(samplePrompt)
 	for i := int64(0); i < tokens; i++ {
 		text.WriteString(engine.Token(request, i))
 	}
 	return text.String()
 }
 
-const question = "Moisture 34% behind the tiles: leak or condensation?"
+const samplePrompt = "Moisture 34% behind the tiles: leak or condensation?"
 
 func promptTokensOf(text string) int64 { return int64(len(text)+3) / 4 }
 
-// expectWhole checks an answer against what the engine made for that request.
+// expectWhole checks that an answer is whole and is the one that the engine generated
+// for its request.
 func expectWhole(t *testing.T, f *fleet, a answer) {
 	t.Helper()
 	if !a.whole {
-		t.Errorf("not whole: %d %s %v", a.status, a.body, a.err)
+		t.Errorf("the answer is not whole: %d %s %v", a.status, a.body, a.err)
 		return
 	}
 	request := a.header.Get("X-Request-Id")
-	if got, want := a.text(), wholeText(f, request); got != want {
-		t.Errorf("request %s got %q, its engine made %q", request, got, want)
+	if got, want := a.text(), expectedText(f, request); got != want {
+		t.Errorf("request %s got %q, its engine generated %q", request, got, want)
 	}
 }
 
-// The connection to the engine breaks in the middle of a report. The crew sees
-// one whole report: the instance asks the engine for the rest at the token where
-// it broke, and drops what it has already.
+// The connection to the engine breaks in the middle of an answer. The client gets
+// one whole answer: the instance requests the rest from the engine at the token
+// where the connection broke, and drops tokens that it has already.
 func TestCutStreamIsResumedWhole(t *testing.T) {
 	f := newFleet(t, options{instances: 1, engines: 1, prepaid: 1_000_000, tokenMillis: 2})
 	for _, stream := range []bool{true, false} {
 		f.post(f.engines[0].control, "/faults", engine.Faults{CutAfterTokens: 10})
-		expectWhole(t, f, ask(f.instances[0].address, crewKey, stream, 40, question))
+		expectWhole(t, f, askModel(f.instances[0].address, crewKey, stream, 40, samplePrompt))
 	}
 }
 
-// An engine answers with another request's id, as if two answers had crossed.
-// The caller must not see a token of it; the question may be repeated, so
-// another engine is asked.
+// An engine answers with the id of another request, as if two answers had been
+// swapped. The client must not see a token of it; the request is idempotent, so
+// another engine is tried.
 func TestCrossedAnswerNeverReachesTheCaller(t *testing.T) {
 	f := newFleet(t, options{instances: 1, engines: 2, prepaid: 10_000_000, tokenMillis: 1})
-	for range 12 { // pay in for retries
-		expectWhole(t, f, ask(f.instances[0].address, crewKey, true, 4, question))
+	for range 12 { // earn retry budget
+		expectWhole(t, f, askModel(f.instances[0].address, crewKey, true, 4, samplePrompt))
 	}
 	f.post(f.engines[0].control, "/faults", engine.Faults{WrongID: true})
 	f.post(f.engines[1].control, "/faults", engine.Faults{WrongID: true})
 	for range 4 {
-		a := ask(f.instances[0].address, crewKey, true, 4, question)
+		a := askModel(f.instances[0].address, crewKey, true, 4, samplePrompt)
 		if strings.Contains(a.body, "somebody-else") {
-			t.Errorf("another request's answer reached the caller: %s", a.body)
+			t.Errorf("another request's answer reached the client: %s", a.body)
 		}
 		if a.whole {
 			expectWhole(t, f, a)
@@ -70,28 +71,29 @@
 	}
 }
 
-// A connection to an engine goes silent for good in the middle of an answer,
-// while new connections work. The silence is noticed by the idle bound, and the
-// rest is fetched over a fresh connection.
+// A connection to an engine goes silent for good in the middle of an answer, while
+// new connections work. The idle timeout detects the silence, and the instance
+// fetches the rest of the answer over a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	f := newFleet(t, options{
-		instances: 1, engines: 1, prepaid: 1_000_000, tokenMillis: 20, viaRelay: true, idleMillis: 500,
+		instances: 1, engines: 1, prepaid: 1_000_000, tokenMillis: 20, relayEngines: true, idleMillis: 500,
 	})
 	got := make(chan answer, 1)
-	go func() { got <- ask(f.instances[0].address, crewKey, true, 100, question) }()
-	f.await("the run", func() bool { return len(f.engineUsageDirect()) > 0 })
+	go func() { got <- askModel(f.instances[0].address, crewKey, true, 100, samplePrompt) }()
+	f.await("the run", func() bool { return len(f.activeRequests()) > 0 })
 	f.post(f.engines[0].control, "/faults", relay.Faults{Freeze: true})
 	a := <-got
 	if !a.whole {
 		t.Errorf("got %d %s", a.status, a.body)
 	}
 	if n := strings.Count(a.body, "id: "); n < 50 {
-		t.Errorf("only %d tokens came", n)
+		t.Errorf("only %d tokens came, expected at least 50", n)
 	}
 }
 
-// engineUsageDirect asks the engines past their relays.
-func (f *fleet) engineUsageDirect() map[string]int64 {
+// activeRequests returns the number of requests that run at the first instance under the
+// key "active", or an empty map if there are none or the status cannot be read.
+func (f *fleet) activeRequests() map[string]int64 {
 	usage := map[string]int64{}
 	status, err := f.status(f.instances[0])
 	if err == nil && status.Active > 0 {
@@ -100,16 +102,16 @@
 	return usage
 }
 
-// Crews ask at all instances at once while one is stopped for a planned
-// replacement. The streams it has go on to their end marks; then it exits 0.
+// An instance is stopped for a planned replacement while it serves streams. The
+// streams go on to their end marks, then the process exits with status 0.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	f := newFleet(t, options{instances: 2, engines: 2, prepaid: 10_000_000, tokenMillis: 5})
 	var streams sync.WaitGroup
 	answers := make([]answer, 8)
 	for n := range answers {
-		streams.Go(func() { answers[n] = ask(f.instances[0].address, crewKey, n%2 == 0, 200, question) })
+		streams.Go(func() { answers[n] = askModel(f.instances[0].address, crewKey, n%2 == 0, 200, samplePrompt) })
 	}
-	f.await("all streams under way", func() bool {
+	f.await("all streams to run", func() bool {
 		status, err := f.status(f.instances[0])
 		return err == nil && status.Active == int64(len(answers))
 	})
@@ -119,9 +121,9 @@
 		expectWhole(t, f, a)
 	}
 	if err := f.instances[0].cmd.Wait(); err != nil {
-		t.Errorf("the stop ended with %v", err)
+		t.Errorf("the stopped instance ended with %v", err)
 	}
-	if a := ask(f.instances[1].address, crewKey, true, 5, question); !a.whole {
-		t.Errorf("the other instance: %d %s", a.status, a.body)
+	if a := askModel(f.instances[1].address, crewKey, true, 5, samplePrompt); !a.whole {
+		t.Errorf("the other instance answered %d %s", a.status, a.body)
 	}
 }
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -24,7 +24,7 @@
 	"github.com/lavenderring/lavenderring/pkg/tlsfiles"
 )
 
-// authority signs certificates for one test.
+// authority is a certificate authority for one test.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -98,8 +98,9 @@
 	}, a.cert, key, a.key)
 }
 
-// askForTokens tries to draw an account's tokens from an instance's peer address.
-func askForTokens(address string, config *tls.Config) error {
+// requestTokens requests an allocation of an account's tokens at an instance's peer
+// address; a nil config connects without TLS.
+func requestTokens(address string, config *tls.Config) error {
 	var conn net.Conn
 	var err error
 	if config == nil {
@@ -119,16 +120,17 @@
 	return err
 }
 
-// With certificates in the settings, instances talk to each other and callers over
-// TLS. A process that has none, one of another authority, or one that is not an
-// instance's, gets no tokens. A replaced certificate is used without a restart.
+// With certificates in the settings, instances use TLS among each other and with
+// clients. A process without a certificate, with one of another authority, or with one
+// that was not issued to an instance, gets no tokens. A replaced certificate is used
+// without a restart.
 func TestOnlyCertifiedPeersGetTokens(t *testing.T) {
 	ours, others := newAuthority(t), newAuthority(t)
 	ours.issue("peer", tlsfiles.PeerName, 2)
 	ours.issue("caller", "router", 3)
 	ours.issue("office", "office", 4)
 	others.issue("peer", tlsfiles.PeerName, 5)
-	f := newFleet(t, options{instances: 2, engines: 1, prepaid: 1_000_000, extra: fmt.Sprintf(
+	f := newFleet(t, options{instances: 2, engines: 1, prepaid: 1_000_000, extraSettings: fmt.Sprintf(
 		"[peer_tls]\ncertificate = %q\nkey = %q\nauthority = %q\n[caller_tls]\ncertificate = %q\nkey = %q\n",
 		ours.path("peer"), ours.path("peer-key"), ours.path("authority"), ours.path("caller"), ours.path("caller-key"))})
 	address := f.peerAddress(f.instances[0])
@@ -136,7 +138,7 @@
 		Certificate: ours.path("peer"), Key: ours.path("peer-key"), Authority: ours.path("authority"),
 	})
 	f.must(err)
-	if err := askForTokens(address, good); err != nil {
+	if err := requestTokens(address, good); err != nil {
 		t.Errorf("a certified peer got %v", err)
 	}
 	for description, files := range map[string]tlsfiles.Files{
@@ -145,42 +147,46 @@
 	} {
 		_, config, err := tlsfiles.Peer(files)
 		f.must(err)
-		if askForTokens(address, config) == nil {
+		if requestTokens(address, config) == nil {
 			t.Errorf("%s: got tokens", description)
 		}
 	}
-	if askForTokens(address, nil) == nil {
+	if requestTokens(address, nil) == nil {
 		t.Error("without TLS: got tokens")
 	}
-	expectServed(t, f, ours)
+	expectTLSResponse(t, f, ours)
 	ours.issue("caller", "router", 77)
 	future := time.Now().Add(2 * time.Second)
 	f.must(os.Chtimes(ours.path("caller"), future, future))
-	f.await("the replaced certificate", func() bool { return servedSerial(t, f, ours) == 77 })
+	f.await("the replaced certificate", func() bool { return certificateSerial(t, f, ours) == 77 })
 }
 
-func callerConfig(a *authority) *tls.Config {
+func clientTLSConfig(a *authority) *tls.Config {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return &tls.Config{RootCAs: pool, ServerName: "router", MinVersion: tls.VersionTLS12}
 }
 
-func expectServed(t *testing.T, f *fleet, a *authority) {
+// expectTLSResponse checks that the first instance answers over TLS; without an API key, the
+// answer is 401.
+func expectTLSResponse(t *testing.T, f *fleet, a *authority) {
 	t.Helper()
-	client := &http.Client{Transport: &http.Transport{TLSClientConfig: callerConfig(a)}}
+	client := &http.Client{Transport: &http.Transport{TLSClientConfig: clientTLSConfig(a)}}
 	resp, err := client.Get("https://" + f.instances[0].address + "/services/jobs/x")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusUnauthorized {
-		t.Errorf("got %d", resp.StatusCode)
+		t.Errorf("a request over TLS without an API key got %d", resp.StatusCode)
 	}
 }
 
-func servedSerial(t *testing.T, f *fleet, a *authority) int64 {
+// certificateSerial returns the serial number of the certificate that the first instance
+// presents to clients, or 0 if there is no connection.
+func certificateSerial(t *testing.T, f *fleet, a *authority) int64 {
 	t.Helper()
-	conn, err := tls.Dial("tcp", f.instances[0].address, callerConfig(a))
+	conn, err := tls.Dial("tcp", f.instances[0].address, clientTLSConfig(a))
 	if err != nil {
 		return 0
 	}
--- a/test/upstreams_test.go
+++ b/test/upstreams_test.go
@@ -9,7 +9,7 @@
 	"github.com/lavenderring/lavenderring/pkg/standin/plain"
 )
 
-// runs returns what the plain services ran.
+// runs returns the requests that the plain services ran.
 func (f *fleet) runs() []plain.Run {
 	f.t.Helper()
 	var all []plain.Run
@@ -19,7 +19,7 @@
 	return all
 }
 
-// runsAt returns what one plain service ran.
+// runsAt returns the requests that one plain service ran.
 func (f *fleet) runsAt(p *process) []plain.Run {
 	f.t.Helper()
 	resp, err := http.Get("http://" + p.control + "/_runs")
@@ -30,7 +30,7 @@
 	return runs
 }
 
-// runsOf counts how often a job ran.
+// runsOf returns how often a job ran.
 func (f *fleet) runsOf(job string) int {
 	f.t.Helper()
 	count := 0
@@ -42,7 +42,7 @@
 	return count
 }
 
-// engineUsage returns the tokens that the engines counted, by request.
+// engineUsage returns the tokens that the engines counted, by request id.
 func (f *fleet) engineUsage() map[string]int64 {
 	f.t.Helper()
 	usage := map[string]int64{}
@@ -59,8 +59,8 @@
 	return usage
 }
 
-// statement reads every bill in the store.
-func (f *fleet) statement() *bill.Statement {
+// readStatement reads all bills in the store.
+func (f *fleet) readStatement() *bill.Statement {
 	f.t.Helper()
 	list, err := f.store.List(f.t.Context(), bill.Kind)
 	f.must(err)
@@ -69,8 +69,9 @@
 	return statement
 }
 
-// budget reads a budget from the ledger; an empty one if nobody touched it.
-func (f *fleet) budget(id string) *ledger.Budget {
+// readBudget reads a budget from the ledger, or returns an empty one if the ledger does not
+// have it.
+func (f *fleet) readBudget(id string) *ledger.Budget {
 	f.t.Helper()
 	for shard := 0; shard < 4; shard++ {
 		object, err := f.store.Get(f.t.Context(), ledger.ObjectKey(shard))
