--- a/pkg/quarantine/keeper/keeper.go
+++ b/pkg/quarantine/keeper/keeper.go
@@ -81,7 +81,7 @@
 	k.spreader.ReceiveHash(address, hash, stored)
 }
 
-// Stored reports whether the table contains what the store has.
+// Stored reports whether the table contains the records in the store.
 func (k *Keeper) Stored() bool { return k.spreader.Stored() }
 
 // Compared reports whether the table has been compared with another instance's at least once.
--- a/pkg/quarantine/keeper/verdicts.go
+++ b/pkg/quarantine/keeper/verdicts.go
@@ -17,7 +17,8 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// The store holds the condemned requests, so that they survive the loss of all instances.
+// Parameters of the stored verdicts. The store holds the records of the condemned requests, so that the
+// verdicts survive the loss of all instances.
 const (
 	// verdictsKey is the key of the stored object.
 	verdictsKey = "quarantine/verdicts"
@@ -42,7 +43,7 @@
 	err := store.Update(ctx, k.Store, verdictsKey, func(present []byte) ([]byte, error) {
 		stored, err := decodeVerdicts(present)
 		if err != nil {
-			k.logDecodeError(verdictsKey, err) // an unreadable object is replaced
+			k.logDecodeError(verdictsKey, err) // an unreadable object is overwritten
 		}
 		merged, err := encodeVerdicts(mergeVerdicts(stored, k.Table().All()))
 		if err == nil && bytes.Equal(merged, present) {
@@ -61,7 +62,7 @@
 }
 
 // Recover merges the stored verdicts into the table, and requests storing those that the store lacks.
-// By it, a fleet that lost all its instances learns again which requests are condemned.
+// After the loss of all instances, this is how a fleet learns again which requests are condemned.
 func (k *Keeper) Recover(ctx context.Context) error {
 	object, err := k.Store.Get(ctx, verdictsKey)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -86,8 +87,9 @@
 	}
 }
 
-// mergeVerdicts returns the merged records of all stored requests, which include released ones, and of
-// the known condemned requests: the maxStoredVerdicts that crashed last.
+// mergeVerdicts merges the stored records with those in known, and returns the maxStoredVerdicts with
+// the latest crashes. From known it takes the condemned requests, and the requests that are stored
+// already: some of these may have been released since, which the stored records must show.
 func mergeVerdicts(stored, known []quarantine.Record) []quarantine.Record {
 	merged := quarantine.NewTable("", nil)
 	merged.Merge(stored, time.Time{}, false)
--- a/pkg/quarantine/keeper/verdicts_test.go
+++ b/pkg/quarantine/keeper/verdicts_test.go
@@ -37,7 +37,7 @@
 	}
 	both := mergeVerdicts(stored, []quarantine.Record{condemnedRecord(2)})
 	if len(both) != 2 {
-		t.Fatalf("%d verdicts", len(both))
+		t.Fatalf("%d verdicts after merging two, want 2", len(both))
 	}
 	again, err := decodeVerdicts(encode(both))
 	if err != nil {
@@ -54,7 +54,7 @@
 	released.Cleared = quarantine.CondemnAfter
 	merged := mergeVerdicts([]quarantine.Record{condemnedRecord(1)}, []quarantine.Record{released})
 	if len(merged) != 1 || merged[0].IsCondemned() {
-		t.Errorf("got %+v", merged)
+		t.Errorf("got records %+v, want one that is not condemned", merged)
 	}
 }
 
@@ -68,14 +68,15 @@
 	}
 	merged := mergeVerdicts(nil, known)
 	if len(merged) != maxStoredVerdicts || merged[0].Fingerprint != condemnedRecord(2*maxStoredVerdicts).Fingerprint {
-		t.Errorf("%d verdicts, the first with its last crash at %v", len(merged), merged[0].LastCrash)
+		t.Errorf("%d verdicts, the first with its last crash at %v; want the maxStoredVerdicts latest",
+			len(merged), merged[0].LastCrash)
 	}
 }
 
 func TestUnreadableVerdictsAreTold(t *testing.T) {
 	for _, value := range []string{"{", `{"records":"AAAA"}`, `{"records":"not base64"}`} {
 		if records, err := decodeVerdicts([]byte(value)); err == nil && len(records) > 0 {
-			t.Errorf("%s: %v", value, records)
+			t.Errorf("decoding %s returned records without an error: %v", value, records)
 		}
 	}
 	if _, err := decodeVerdicts([]byte("{")); err == nil {
--- a/pkg/quarantine/keeper/view.go
+++ b/pkg/quarantine/keeper/view.go
@@ -36,7 +36,7 @@
 type Summary struct {
 	Suspected int `json:"suspected"`
 	Condemned int `json:"condemned"`
-	// Oldest is the earliest last crash of a condemned request; zero if there is none.
+	// Oldest is the earliest LastCrash among the condemned requests; zero if there are none.
 	Oldest time.Time `json:"oldest,omitzero"`
 }
 
