--- a/pkg/quarantine/conclude.go
+++ b/pkg/quarantine/conclude.go
@@ -33,8 +33,8 @@
 }
 
 // ProbeFunc reports whether the upstream's address refuses connections, which means that its process
-// is gone. A probe that comes late, when the upstream has already restarted, does not notice the
-// crash; the next incarnation reveals it then.
+// is gone. A probe made after the upstream has restarted does not detect the crash; in that case the
+// next incarnation reveals it.
 type ProbeFunc func() (refuses bool)
 
 // Conclusion is the consequence of an attempt's end for the request.
@@ -45,8 +45,8 @@
 	Crash *Record
 }
 
-// Conclude records how a run ended, and probes the upstream if it may have crashed. It is called once,
-// instead of the run's other methods that end it.
+// Conclude records how a run ended, and probes the upstream if it may have crashed. It ends the run: it is
+// called once, and NoteAnswer, NoteCrash and NoteEnd are not called besides.
 func (r Run) Conclude(ctx context.Context, attempt Attempt, probe ProbeFunc, now func() time.Time) Conclusion {
 	switch attempt.Evidence {
 	case WholeAnswer:
--- a/pkg/quarantine/ending.go
+++ b/pkg/quarantine/ending.go
@@ -26,10 +26,10 @@
 	Incarnation string
 }
 
-// endingKey identifies one ending: a connection that ended during a request.
+// endingKey identifies one ending: the end of an upstream's connection during a request.
 type endingKey struct {
-	// Turn is the ordinal of the ending: one more than the last one known when the run began, so
-	// that concurrent runs share the same turn.
+	// Turn is the ordinal of the ending: one more than that of the last ending known when the run
+	// began, so that the endings of concurrent runs share a turn.
 	Turn uint32
 	// Instance is the instance whose connection ended.
 	Instance string
@@ -56,8 +56,8 @@
 	Crash uint32
 	// Refuted reports that the process survived, so it did not crash.
 	Refuted bool
-	// Isolated reports that it was a crash, and that no other upstream crashed at that time for an
-	// unknown cause.
+	// Isolated reports that the ending was a crash, and that no other upstream crashed at that time
+	// for an unknown cause.
 	Isolated bool
 }
 
--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -28,10 +28,10 @@
 	messageLatency = 2 * time.Millisecond
 	// heartbeatInterval is the time between two heartbeats of an instance, each to one other.
 	heartbeatInterval = 200 * time.Millisecond
-	// maxRunTime is how long an upstream runs a fatal request before it crashes; if probes fail,
-	// this is the maximum.
+	// maxRunTime is how long an upstream runs a crashing request before it crashes. If probes fail,
+	// the time is random and maxRunTime its upper bound.
 	maxRunTime = 200 * time.Millisecond
-	// sendInterval is the time between two requests of the client of a fatal request.
+	// sendInterval is the time between two requests of the client of a crashing request.
 	sendInterval = 200 * time.Millisecond
 	// maxDetectionDelay limits the time until an instance observes an upstream's next incarnation.
 	maxDetectionDelay = 400 * time.Millisecond
@@ -152,7 +152,7 @@
 	}
 }
 
-// send sends a fatal request through an instance that retries it once.
+// send sends a crashing request through an instance that retries it once.
 func (f *fleet) send(number int, body string) {
 	table := f.nodeAt(number).spreader.Table()
 	for range 2 {
@@ -178,7 +178,7 @@
 	}
 }
 
-// runTime returns how long an upstream runs a fatal request before it crashes.
+// runTime returns how long an upstream runs a crashing request before it crashes.
 func (f *fleet) runTime() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -237,8 +237,8 @@
 	})
 }
 
-// Guards against instances that each count the crashes of a request separately. One percent of the
-// messages is lost.
+// Guards against instances that each count only the crashes which they saw themselves, so that a
+// request crashes many more upstreams than condemn it. One percent of the messages is lost.
 func TestFewUpstreamsCrashUnderOneRequest(t *testing.T) {
 	for _, size := range []int{7, 63, 295} {
 		fleetsByCrashes := map[int]int{}
@@ -280,7 +280,8 @@
 	}
 }
 
-// Guards against a burst of equal requests of which each crashes an upstream.
+// Guards against a burst of equal requests, sent without waiting for answers, of which each crashes an
+// upstream.
 func TestBurstOfOneRequestEndsFewUpstreams(t *testing.T) {
 	for seed := range uint64(8) {
 		testInFleet(t, 7, seed, func(f *fleet) {
--- a/pkg/quarantine/process.go
+++ b/pkg/quarantine/process.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// HasCrashed reports whether a process is known to have crashed: any process now at its address is a
-// different one.
+// HasCrashed reports whether the process of an incarnation at an address is known to have crashed. A
+// process that answers at that address now is a different one.
 func (t *Table) HasCrashed(address, incarnation string) bool {
 	if !t.Watching() {
 		return false
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -10,10 +10,10 @@
 
 // Numbers of consecutive crashes that condemn a request.
 const (
-	// CondemnAfter is the minimum. With fewer, a harmless request that twice ran next to one that
-	// crashes upstreams would be condemned.
+	// CondemnAfter is the minimum. If fewer crashes condemned a request, a harmless one that twice
+	// ran next to a request that crashes upstreams would be condemned.
 	CondemnAfter = 3
-	// MaxConsecutiveCrashes condemns a request regardless of what other upstreams crash.
+	// CondemnAtMost is the number that condemns a request even if none of its crashes was isolated.
 	CondemnAtMost = 5
 )
 
@@ -33,8 +33,8 @@
 	// Cleared is the ordinal up to which crashes no longer count, because the request was answered
 	// after them or an operator released it.
 	Cleared uint32
-	// Isolated counts the crashes at a time when no other upstream crashed for an unknown cause,
-	// continuing from Cleared.
+	// Isolated counts the isolated crashes, those at a time when no other upstream crashed for an
+	// unknown cause. The count continues from Cleared, so that cleared crashes no longer add to it.
 	Isolated uint32
 	// Verdict is the ordinal of the last crash when an instance condemned the request.
 	Verdict uint32
@@ -77,8 +77,8 @@
 	return last - min(last, r.Cleared)
 }
 
-// IsCondemned reports whether the request has reached MaxConsecutiveCrashes, or some instance condemned it,
-// and it has not been cleared since.
+// IsCondemned reports whether the request has CondemnAtMost consecutive crashes, or some instance
+// condemned it and it has not been cleared since.
 func (r *Record) IsCondemned() bool {
 	consecutive := r.ConsecutiveCrashes()
 	return consecutive >= CondemnAtMost || (consecutive > 0 && r.Verdict > r.Cleared)
@@ -158,6 +158,6 @@
 	return copied
 }
 
-// isWatched reports whether the record has crashes or undecided endings, so that requests must be
-// fingerprinted to match it.
+// isWatched reports whether the record has consecutive crashes or undecided endings. While any record
+// has, instances fingerprint their requests to find those that match.
 func (r *Record) isWatched() bool { return r.ConsecutiveCrashes() > 0 || r.NumUndecided() > 0 }
--- a/pkg/quarantine/spread.go
+++ b/pkg/quarantine/spread.go
@@ -11,11 +11,11 @@
 	"github.com/lavenderring/lavenderring/pkg/ring"
 )
 
-// Parameters of the dissemination: an instance that learns something new pushes it to some others at
-// once (push gossip), and instances whose tables differ exchange them in full.
+// Parameters of the dissemination: an instance whose table changes immediately pushes the changed
+// records to some others (push gossip), and two instances whose tables differ exchange them in full.
 const (
-	// fanout is the number of instances to which new records are pushed. Of 300 instances, all but
-	// one in 400 receive a record this way, within the time of four messages.
+	// fanout is the number of instances to which new records are pushed. In a fleet of 300, a
+	// pushed record reaches all instances but one in 400, within the time of four messages.
 	fanout = 6
 	// pushInterval is the minimum time between two pushes, which batches simultaneous changes.
 	pushInterval = 10 * time.Millisecond
@@ -49,8 +49,8 @@
 	wakeups *ring.Queue[struct{}]
 	// differing holds the address of an instance whose table differs from this one's.
 	differing *ring.Queue[string]
-	// compared reports that the table has been compared with another instance's, stored that it
-	// contains what the store has.
+	// compared reports that the table has been compared with another instance's, stored that the
+	// table contains the records in the store.
 	compared, stored atomic.Bool
 
 	mu sync.Mutex
@@ -104,8 +104,8 @@
 	}
 }
 
-// push sends the pending records to some other instances. An instance that is not reached is left with
-// a differing table, which the comparison of hashes detects.
+// push sends the pending records to some other instances. An instance that the records do not reach
+// keeps a differing table, which the comparison of hashes in heartbeats detects.
 func (s *Spreader) push(ctx context.Context) {
 	records := s.table.TakePending()
 	if len(records) == 0 {
@@ -118,15 +118,16 @@
 	}
 }
 
-// Stored reports whether the table contains what the store has: the store was read by this instance, or
-// by one whose table was equal.
+// Stored reports whether the table contains the records in the store, because this instance has read
+// them, or an instance whose table was equal has.
 func (s *Spreader) Stored() bool { return s.stored.Load() }
 
-// NoteStored records that the table contains what the store has.
+// NoteStored records that the table contains the records in the store.
 func (s *Spreader) NoteStored() { s.stored.Store(true) }
 
-// ReceiveHash handles the hash of the table of the instance at an address, and whether that table
-// contains what the store has. If the tables differ, it schedules an exchange.
+// ReceiveHash handles a hash received from the instance at an address: that of its table. The flag
+// stored reports whether that table contains the records in the store. If the tables differ,
+// ReceiveHash schedules an exchange.
 func (s *Spreader) ReceiveHash(address string, hash uint64, stored bool) {
 	s.table.Expire(s.now())
 	if hash == s.table.Hash() {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -4,7 +4,8 @@
 // A request that was running when its upstream crashed is suspected: it may have caused the crash, or
 // only have run at the same time as the cause. Suspected requests run one at a time in the whole fleet.
 // An answer clears a request; CondemnAfter consecutive crashes condemn it permanently, unless an operator
-// releases it. More crashes are needed where other upstreams crash at the same time without a suspect.
+// releases it. More crashes are needed if other upstreams crash at the same time and no suspected request
+// explains those crashes.
 package quarantine
 
 import (
@@ -19,8 +20,8 @@
 	"github.com/lavenderring/lavenderring/pkg/pause"
 )
 
-// trialTimeout is how long a trial whose end is not known prevents other runs. The instance that runs
-// it may be gone.
+// trialTimeout is how long a trial prevents other runs of its request if its end is not received: the
+// instance that runs the trial may be gone.
 const trialTimeout = 5 * time.Second
 
 // Reasons for refusing a request.
@@ -50,7 +51,7 @@
 type Policy struct {
 	// Trials makes suspected requests run one at a time.
 	Trials bool
-	// DiscountConcurrent gives less weight to crashes at the same time as those of other upstreams.
+	// DiscountConcurrent gives less weight to a crash if other upstreams crashed at the same time.
 	DiscountConcurrent bool
 }
 
@@ -75,12 +76,12 @@
 	// nextExpiry is when the first of these endings expires.
 	undecided  map[string]map[fingerprint.Fingerprint]bool
 	nextExpiry time.Time
-	// crashedProcesses holds when each crashed process was last reported as crashed.
+	// crashedProcesses holds, for each process known to have crashed, when a record last reported it.
 	crashedProcesses map[process]time.Time
 	// numUndecidedAddresses is the number of addresses in undecided. While it is 0, answers need not
 	// be examined.
 	numUndecidedAddresses atomic.Int64
-	// recent holds the crashes of upstreams of the last seconds.
+	// recent holds the upstream crashes of the last seconds, under whatever request.
 	recent   recentCrashes
 	onChange func()
 	// onCondemned is called when this instance judges a request and finds it condemned.
@@ -290,7 +291,7 @@
 	return crash
 }
 
-// Crash is a recorded crash that has not been judged yet.
+// Crash is a recorded crash that is still to be judged, by Await or Judge.
 type Crash struct {
 	run    Run
 	at     time.Time
@@ -357,8 +358,8 @@
 	return !t.policy.DiscountConcurrent || e.numIsolatedCrashes() >= t.recent.requiredIsolated(e.crashedUpstreams, now)
 }
 
-// NoteAnswer records that an upstream sent a complete answer: the request did not cause the crashes of
-// the others. It reports whether the request was suspected or condemned until then.
+// NoteAnswer records that an upstream sent a complete answer, which shows that the request did not cause
+// its earlier crashes. It reports whether the request was suspected or condemned until then.
 func (r Run) NoteAnswer() bool {
 	t := r.table
 	if !t.Watching() {
@@ -410,8 +411,8 @@
 	return true
 }
 
-// update applies a change to an entry; if apply reports that it changed something, the indexes follow
-// and the record is marked as pending. t.mu must be held.
+// update calls apply to change an entry. If apply reports a change, update adjusts the count of watched
+// records and the index of undecided endings, and marks the record as pending. t.mu must be held.
 func (t *Table) update(e *entry, apply func() bool) {
 	before := e.isWatched()
 	if !apply() {
@@ -439,8 +440,8 @@
 }
 
 // Merge merges records from another instance or the store, and returns the records that changed. If
-// forward is set, these are sent on to other instances; it is not needed if the sender reached all of
-// them itself.
+// forward is set, the changed records are sent to other instances as well, which is not needed if the
+// sender has sent them to all instances itself.
 func (t *Table) Merge(records []Record, now time.Time, forward bool) (changed []Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -58,7 +58,7 @@
 	}
 	var refused *RefusedError
 	if _, err := table.Begin(bodyRequest("fatal"), startTime); !errors.As(err, &refused) || !errors.Is(err, ErrCondemned) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrCondemned", err)
 	}
 	mustBegin(t, table, "another").NoteEnd()
 }
@@ -75,11 +75,11 @@
 		endWithCrash(run, testOrigin, n)
 	}
 	if all := table.All(); len(all) != 1 || all[0].ConsecutiveCrashes() != 1 {
-		t.Errorf("got %+v", all)
+		t.Errorf("got records %+v, want one with one crash", all)
 	}
 }
 
-// Guards against a harmless request that twice ran next to a fatal one and is condemned later.
+// Guards against a harmless request that twice ran next to a crashing one and is condemned later.
 func TestAnswerClearsASuspectedRequest(t *testing.T) {
 	table := NewTable("a", nil)
 	runAndCrash(t, table, "sound", 1)
@@ -113,7 +113,8 @@
 	}
 }
 
-// Guards against an answer that clears nothing because its run began before the request was suspected.
+// Guards against an answer that does not clear its request because the run began before the request was
+// suspected.
 func TestAnswerOfAnEarlierRunClears(t *testing.T) {
 	table := NewTable("a", nil)
 	early := mustBegin(t, table, "sound")
@@ -258,7 +259,7 @@
 	table := NewTable("a", nil)
 	run, err := table.Begin(unhashableRequest{t}, startTime)
 	if err != nil || run.NoteAnswer() {
-		t.Errorf("got %v", err)
+		t.Errorf("the request was suspected, or refused: %v", err)
 	}
 	run.NoteEnd()
 }
--- a/pkg/quarantine/undecided.go
+++ b/pkg/quarantine/undecided.go
@@ -49,10 +49,10 @@
 	return len(t.undecided[address]) > 0
 }
 
-// NoteAnswer records that an incarnation at an address answered a request that was not sent before since.
-// This decides the endings at the address before that time: those by the same incarnation were not
-// crashes, because its process is still running; those by other incarnations were, because their
-// processes are gone.
+// NoteAnswer records that an incarnation at an address answered a request that was sent at since or
+// later. This decides the undecided endings at the address that were observed before since. Endings of
+// the same incarnation were not crashes, because its process is still running; endings of other
+// incarnations were crashes, because their processes are gone.
 func (t *Table) NoteAnswer(address, incarnation string, since time.Time) {
 	if t.numUndecidedAddresses.Load() == 0 || incarnation == "" {
 		return
@@ -63,7 +63,7 @@
 }
 
 // NoteGone records that an incarnation was gone from an address at a time, without having announced that
-// it leaves.
+// it leaves: its undecided endings from before that time were crashes.
 func (t *Table) NoteGone(address, incarnation string, at time.Time) {
 	if t.numUndecidedAddresses.Load() == 0 {
 		return
@@ -73,7 +73,8 @@
 	})
 }
 
-// decide applies evidence to the undecided endings at an address.
+// decide calls evidence for each undecided ending at an address, and records the ending as a crash or
+// as refuted if evidence reports that it is decided.
 func (t *Table) decide(address string, evidence func(endingKey, ending) (decided, crashed bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,21 +102,21 @@
 	first := ordinal <= e.Cleared+1
 	t.recent.note(key.ID, ordinal-1-min(ordinal-1, e.Cleared), at)
 	e.addCrashedUpstream(key.ID)
-	alone := !first && t.isIsolated(e, at)
+	isolated := !first && t.isIsolated(e, at)
 	t.merge(&Record{
 		Fingerprint: e.Fingerprint,
 		Crashes:     map[string]uint32{key.Instance: ordinal},
 		LastCrash:   at,
 		Upstream:    key.ID,
-		endings:     map[endingKey]ending{key: {At: at, Crash: ordinal, Isolated: alone}},
+		endings:     map[endingKey]ending{key: {At: at, Crash: ordinal, Isolated: isolated}},
 	}, at)
 	t.condemn(e, at)
 	t.onCrashConfirmed(e.clone())
 }
 
-// hasConcurrentUndecided reports whether a connection to another upstream ended within JudgeDelay of a
-// time, is undecided, and no request that ran there explains it: the upstreams may share a cause. t.mu
-// must be held.
+// hasConcurrentUndecided reports whether there is an undecided ending at another upstream, within
+// JudgeDelay of a time, that no request which ran there explains: if it was a crash, both crashes may
+// have the same cause. t.mu must be held.
 func (t *Table) hasConcurrentUndecided(of *entry, at time.Time) bool {
 	for _, requests := range t.undecided {
 		for f := range requests {
--- a/pkg/quarantine/undecided_test.go
+++ b/pkg/quarantine/undecided_test.go
@@ -46,14 +46,14 @@
 	}
 }
 
-// Guards against a fatal request that continues to run while earlier crashes are undecided.
+// Guards against a crashing request that continues to run while earlier crashes are undecided.
 func TestUndecidedEndingsHoldARequestBack(t *testing.T) {
 	table := NewTable("a", nil)
 	for n := range CondemnAfter {
 		runUntilConnectionEnds(t, table, upstreamProcess(n), n)
 	}
 	if _, err := table.Begin(bodyRequest(watchedBody), startTime); !errors.Is(err, ErrTrialRuns) {
-		t.Errorf("got %v", err)
+		t.Errorf("with undecided endings: got error %v, want ErrTrialRuns", err)
 	}
 	if _, err := table.Begin(bodyRequest(watchedBody), startTime.Add(endingLifetime+time.Minute)); err != nil {
 		t.Errorf("after the endings expired: %v", err)
@@ -86,7 +86,7 @@
 	}
 	table.NoteAnswer(upstreamProcess(0).Address, "a later process", startTime.Add(time.Minute))
 	if all := table.All(); len(all) != 1 || all[0].ConsecutiveCrashes() != 1 {
-		t.Errorf("got %+v", all)
+		t.Errorf("got records %+v, want one with one crash", all)
 	}
 	if !table.HasCrashed(upstreamProcess(0).Address, upstreamProcess(0).Incarnation) {
 		t.Error("the process is not known to have crashed")
@@ -109,7 +109,7 @@
 	b.Merge(a.All(), startTime, true)
 	for _, table := range []*Table{a, b} {
 		if all := table.All(); all[0].ConsecutiveCrashes() != 2 {
-			t.Errorf("got %+v", all)
+			t.Errorf("got records %+v, want two crashes", all)
 		}
 	}
 	if a.Hash() != b.Hash() {
@@ -124,7 +124,7 @@
 	runUntilConnectionEnds(t, table, upstreamProcess(0), 2)
 	table.NoteGone(upstreamProcess(0).Address, upstreamProcess(0).Incarnation, startTime.Add(time.Second))
 	if all := table.All(); all[0].ConsecutiveCrashes() != 0 {
-		t.Errorf("got %+v", all)
+		t.Errorf("got records %+v, want no crash", all)
 	}
 }
 
@@ -147,13 +147,13 @@
 		run.NoteEnd()
 	}
 	if all := len(table.All()); all > maxRecordsPerAccount {
-		t.Errorf("%d records", all)
+		t.Errorf("%d records, more than maxRecordsPerAccount", all)
 	}
 	record := Record{Fingerprint: bodyRequest(watchedBody).Fingerprint(), endings: map[endingKey]ending{}}
 	for n := range 2 * maxEndings {
 		record.mergeEndings(map[endingKey]ending{{Turn: uint32(n), Instance: "a"}: {At: startTime}})
 	}
 	if len(record.endings) != maxEndings || record.lastTurn() != 2*maxEndings-1 {
-		t.Errorf("%d endings, the last %d", len(record.endings), record.lastTurn())
+		t.Errorf("%d endings, the last with turn %d; want the maxEndings latest", len(record.endings), record.lastTurn())
 	}
 }
