--- a/pkg/member/cache.go
+++ b/pkg/member/cache.go
@@ -2,8 +2,8 @@
 
 import "github.com/lavenderring/lavenderring/pkg/member/memberpb"
 
-// viewCache caches what is derived from a table's entries until one of them changes. Callers need it
-// for each request, and the copies of the store several times a second.
+// viewCache caches lists and ranks that are derived from a table's entries, until an entry changes. They
+// are needed for each request, and several times a second by the copies of the store.
 type viewCache struct {
 	live   []*memberpb.Member
 	ranks  map[string]int
@@ -16,7 +16,7 @@
 	maxMembers, maxDistance int
 }
 
-// invalidateCache discards what was derived from the entries; t.mu is held.
+// invalidateCache discards the table's hash and the cached lists and ranks; t.mu is held.
 func (t *Table) invalidateCache() {
 	t.hashValid = false
 	t.cache = viewCache{}
--- a/pkg/member/cache_test.go
+++ b/pkg/member/cache_test.go
@@ -10,8 +10,8 @@
 	"github.com/lavenderring/lavenderring/pkg/member/memberpb"
 )
 
-// Guards against a cached rank or list of live members that outlives a change: a member has joined,
-// left, become silent or sent a message again. Two instances would publish, or none.
+// Guards against a cached rank or list of live members that stays in use after a member has joined,
+// left, become silent or sent a message again. Two instances would then publish changes, or none.
 func TestKeptViewsAreThoseOfTheEntries(t *testing.T) {
 	const members, steps = 40, 3000
 	random := rand.New(rand.NewPCG(1, 2))
--- a/pkg/member/gossip.go
+++ b/pkg/member/gossip.go
@@ -10,9 +10,10 @@
 
 // minConsecutiveComparisons is how many replies in a row must carry a different table hash before
 // this instance requests a full table, and how many must carry the same hash before it considers
-// its own table settled. Updates that are still being disseminated make tables differ briefly, and
-// a table of 300 members is 25 kB. When many instances start at once, some tables are equal while
-// they hold hardly any members.
+// its own table settled. A few differing replies are no reason to send a full table, 25 kB for 300
+// members: tables differ briefly while updates are disseminated. A few equal replies do not show
+// that a table is complete: when many instances start at once, some tables are equal while they
+// hold hardly any members.
 const minConsecutiveComparisons = 3
 
 // Quarantine is the table of quarantined requests, which heartbeats compare so that all instances
@@ -30,7 +31,8 @@
 	Table *Table
 	// Send sends a digest to the instance at an address and returns its reply.
 	Send func(ctx context.Context, address string, digest *memberpb.Digest) (*memberpb.Digest, error)
-	// Probe requests that the instance at an address probe another member; only Run needs it.
+	// Probe asks the instance at an address to probe another member, and reports whether that member
+	// answered it; only Run needs it.
 	Probe func(ctx context.Context, address string, suspect *memberpb.Member) (answered bool, err error)
 	// Generations returns the configuration generation of each service at this instance; it may be
 	// nil.
@@ -53,14 +55,15 @@
 	// consecutiveDiffering and consecutiveEqual count replies in a row with a different table
 	// hash, or with the same one.
 	consecutiveDiffering, consecutiveEqual atomic.Int32
-	// settled is set once minConsecutiveComparisons replies in a row carried the same table hash.
-	// converged is set as soon as one such reply came from a settled instance: an instance that
-	// joins a running fleet receives its table with the first reply.
+	// settled is set once minConsecutiveComparisons replies in a row carried this table's hash.
+	// converged is set together with settled, or earlier when a reply with this table's hash comes
+	// from a settled instance: an instance that joins a running fleet receives the full table with
+	// its first reply and need not wait for more.
 	settled, converged atomic.Bool
 }
 
-// Digest returns the digest to send to a member, given its incarnation, or an empty string if the
-// receiver is not known yet.
+// Digest returns the digest to send to a member. The argument is the member's incarnation; it is empty
+// if the receiver is not known yet.
 func (g *Gossip) Digest(to string) *memberpb.Digest {
 	d := &memberpb.Digest{
 		From:        g.Table.Self(),
@@ -88,7 +91,7 @@
 	return g.Generations()
 }
 
-// withFullTable adds the full table to a digest and requests the receiver's.
+// withFullTable adds this instance's full table to a digest and requests that of the receiver.
 func (g *Gossip) withFullTable(d *memberpb.Digest) *memberpb.Digest {
 	d.WantTable = true
 	d.Table = g.Table.FullTable()
@@ -180,7 +183,7 @@
 func (g *Gossip) IsReachable(ctx context.Context, incarnation, address string) bool {
 	reply, err := g.Send(ctx, address, g.Digest(incarnation))
 	if err != nil {
-		return false // an error is the negative result of the probe
+		return false // an unanswered probe is a result, not a failure of this instance
 	}
 	g.mergeReply(address, reply)
 	return reply.GetFrom().GetIncarnation() == incarnation
@@ -202,8 +205,9 @@
 	g.compareTable(reply)
 }
 
-// compareTable counts whether another instance's table has the same hash. An equal hash of an
-// instance that is itself still joining is weak evidence of convergence.
+// compareTable counts consecutive replies whose table hash equals, or differs from, that of this table.
+// An equal hash from an instance that is still joining does not show convergence by itself, since both
+// tables may lack the same members.
 func (g *Gossip) compareTable(reply *memberpb.Digest) {
 	if reply.TableHash == g.Table.Hash() {
 		g.consecutiveDiffering.Store(0)
--- a/pkg/member/prober.go
+++ b/pkg/member/prober.go
@@ -22,8 +22,8 @@
 	// notices a crash within a fifth of a second.
 	protocolPeriod = 200 * time.Millisecond
 	// heartbeatsPerPeriod is how many members receive a heartbeat in each period.
-	// extraHeartbeatsPerPeriod is how many responsive members receive one besides while updates
-	// are pending.
+	// extraHeartbeatsPerPeriod is how many more members, which answered their last heartbeats,
+	// receive one while updates are pending.
 	heartbeatsPerPeriod      = 1
 	extraHeartbeatsPerPeriod = 5
 	// numIndirectProbers is how many other members probe one that did not answer. With one message
@@ -69,13 +69,13 @@
 		}
 	case <-time.After(indirectProbeDelay):
 	}
-	// The error itself is not reported: a lasting failure is logged as the member's silence.
+	// The heartbeat's error is not logged: if the failure lasts, the member's silence is.
 	if ctx.Err() == nil {
 		g.Table.ApplyProbeResult(m.Incarnation, g.probeIndirectly(ctx, g.Table.MarkMissed(m.Incarnation), m))
 	}
 }
 
-// probeIndirectly requests that the probers probe a member, concurrently.
+// probeIndirectly asks all probers concurrently to probe a member, and summarizes their answers.
 func (g *Gossip) probeIndirectly(ctx context.Context, probers []*memberpb.Member, m *memberpb.Member) IndirectProbeResult {
 	type answer struct {
 		reached bool
@@ -108,7 +108,9 @@
 	Reached bool
 }
 
-// ApplyProbeResult updates the state of a member that did not answer a heartbeat.
+// ApplyProbeResult applies the result of the indirect probes of a member that did not answer a
+// heartbeat: the member counts as heard if a prober reached it, and otherwise becomes suspected. If no
+// prober answered, it is suspected only after unconfirmedSilenceTimeout.
 func (t *Table) ApplyProbeResult(incarnation string, result IndirectProbeResult) {
 	switch {
 	case result.Reached:
@@ -137,10 +139,10 @@
 	return t.now().Sub(e.lastHeard)
 }
 
-// NextHeartbeats returns the members to send heartbeats to in this period. All members that are not
-// silent are visited once in random order, then again in a new order. While updates are pending, or
-// this instance is joining and knows few others, further members are added so that dissemination
-// does not wait for that order.
+// NextHeartbeats returns the members to send heartbeats to in this period. They come from a queue of all
+// members that are not silent, in random order; when it is empty, it is filled again in a new order.
+// While updates are pending, or this instance is joining and knows few others, further members are
+// added, so that updates do not wait for their receivers' turns in the queue.
 func (t *Table) NextHeartbeats(joining bool) []*memberpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/member/ranking.go
+++ b/pkg/member/ranking.go
@@ -22,8 +22,8 @@
 	return digest.Sum64()
 }
 
-// WinnersByDomain returns, for a key, the winning live member of each failure
-// domain, this instance's own domain first, then its region, then the others.
+// WinnersByDomain returns, for a key, the winning live member of each failure domain: first that of
+// this instance's own domain, then those of its region, then the others.
 func (t *Table) WinnersByDomain(key string) []*memberpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,9 +149,10 @@
 	return e.scores[key]
 }
 
-// isRanked reports whether a member takes part in rankings, for which it may have been silent for
-// a while. Where silence is a disseminated state it ends the ranking at once, since a network
-// failure of the whole fleet makes no instance declare others silent.
+// isRanked reports whether a member takes part in rankings. With a silence timeout, a member still does
+// until it has sent no message for maxRankedSilence. Where silence is a disseminated state, a member
+// that is declared silent is excluded at once: a network failure of the whole fleet does not make
+// instances declare each other silent.
 func (t *Table) isRanked(e *entry) bool {
 	if t.silenceTimeout == 0 {
 		return !t.isDeclaredSilent(e)
@@ -189,9 +190,9 @@
 	})
 }
 
-// Partner returns the incarnation of the live member of another failure domain that should store
-// this instance's records for a key, preferably in the same region and never the incarnation
-// except. It returns an empty string if there is none.
+// Partner returns the incarnation of the live member that should store this instance's records for a
+// key. The member is in another failure domain, preferably of the same region, and is never the
+// incarnation except. Partner returns an empty string if there is no such member.
 func (t *Table) Partner(key, except string) string {
 	for _, m := range t.WinnersByDomain(key + t.identity.Name) {
 		if t.distance(m) > 0 && m.Incarnation != except {
--- a/pkg/member/state.go
+++ b/pkg/member/state.go
@@ -43,8 +43,8 @@
 }
 
 // markHeard records that a member has sent a message; t.mu is held. If the member is suspected or
-// silent, that state is disseminated again, also to the member: only the member can refute it, and
-// other instances rely on it until then.
+// silent, that state is disseminated again, also to the member itself: only the member can refute the
+// state, and until it does, other instances treat the member as suspected or silent.
 func (t *Table) markHeard(e *entry) {
 	e.lastHeard, e.missedHeartbeat = t.now(), false
 	if e.member.State != memberpb.State_ALIVE {
--- a/pkg/member/table.go
+++ b/pkg/member/table.go
@@ -14,17 +14,17 @@
 	"github.com/lavenderring/lavenderring/pkg/member/memberpb"
 )
 
-// forgetAfter is how long a silent incarnation stays in the table.
+// forgetAfter is how long an incarnation stays in the table after it has become silent.
 const forgetAfter = 10 * time.Minute
 
 // entry is the table's record of one incarnation of an instance.
 type entry struct {
 	// member is the newest known state; it is replaced, never modified.
 	member *memberpb.Member
-	// lastHeard is the time of its last message, stateLearned the time when its present state
-	// was learned.
+	// lastHeard is the time of the incarnation's last message, stateLearned the time when this
+	// instance learned its present state.
 	lastHeard, stateLearned time.Time
-	// missedHeartbeat says that it has not answered this instance's last heartbeat.
+	// missedHeartbeat says that the incarnation has not answered this instance's last heartbeat.
 	missedHeartbeat bool
 	// scores caches the member's scores by key.
 	scores map[string]uint64
@@ -101,9 +101,9 @@
 	return t
 }
 
-// Merge merges what was received about a member. A direct message from the member itself proves
-// that it is alive; a record from another source only adds it. Incarnations increase with time, so
-// an older one of the same name never replaces a newer one.
+// Learn merges a record of a member into the table. If direct is set, the record came from the member
+// itself, which proves that it is alive; a record from another source only adds the member.
+// Incarnations increase with time, so an older one of the same name never replaces a newer one.
 func (t *Table) Learn(m *memberpb.Member, direct bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,10 +149,10 @@
 	return e
 }
 
-// NoteSuccessor records that the process at an incarnation's address is a newer incarnation that
-// has replaced it.
+// NoteSuccessor records that the process which now answers at an incarnation's address is successor, a
+// newer incarnation of the same name.
 func (t *Table) NoteSuccessor(incarnation, successor string) {
-	var before *memberpb.Member // entries replace it but never modify it, so it is safe to read unlocked
+	var before *memberpb.Member // never modified, only replaced in its entry: safe to read unlocked
 	t.mu.Lock()
 	if e := t.entries[incarnation]; e != nil {
 		before = e.member
@@ -196,8 +196,8 @@
 }
 
 // effectiveSilenceTimeout returns the silence timeout, which grows with the fleet: with a bounded
-// fan-out each peer sends a heartbeat to this instance less often, and three of these must be
-// missing.
+// fan-out each peer sends heartbeats to this instance less often, and a peer is silent only after it
+// has missed three.
 func (t *Table) effectiveSilenceTimeout() time.Duration {
 	const missedHeartbeats = 3
 	interval := time.Duration(float64(t.heartbeatInterval) * float64(len(t.entries)) / float64(2*t.fanout))
@@ -227,10 +227,10 @@
 	return t.now().Sub(e.lastHeard) > t.effectiveSilenceTimeout()
 }
 
-// HeardWithin reports whether the newest incarnation of a name has sent a message, or was first
-// learned of, within a time. Where silence is a disseminated state, it reports whether the
-// incarnation has not been declared silent for longer than that time. It is false for a member that
-// leaves.
+// HeardWithin reports whether the newest incarnation of a name has sent a message, or was added to the
+// table, within a time. Where silence is a disseminated state, it reports instead whether the
+// incarnation is not declared silent, or was declared silent within that time. It is false for a
+// member that leaves.
 func (t *Table) HeardWithin(name string, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/member/table_test.go
+++ b/pkg/member/table_test.go
@@ -24,8 +24,8 @@
 	return &memberpb.Member{Incarnation: name + "-" + run, Name: name, Region: "r", Domain: domain, PeerAddress: name}
 }
 
-// Guards against an old incarnation that becomes live again through a delayed message after the
-// instance restarted under its name: work on its behalf must not wait for it.
+// Guards against an old incarnation that a delayed message makes live again after the instance has
+// restarted under its name: other instances would not take over its work, but wait for it.
 func TestOldIncarnationStaysSilent(t *testing.T) {
 	c := &clock{now: time.Unix(1000, 0)}
 	table := newTable(c)
--- a/pkg/member/updates.go
+++ b/pkg/member/updates.go
@@ -11,9 +11,9 @@
 
 // Bounds on the updates about other members that heartbeats carry.
 const (
-	// maxUpdatesPerMessage bounds the members in one message: about 6 kB at 90 bytes each, or
-	// 5 ms on a 10 Mbit/s link. With 24, it took twice as long until 295 instances that start
-	// at once knew each other.
+	// maxUpdatesPerMessage bounds the members in one message: 64 of 90 bytes each are about 6 kB,
+	// or 5 ms on a 10 Mbit/s link. With a bound of 24, 295 instances that start at once took twice
+	// as long until they knew each other.
 	maxUpdatesPerMessage = 64
 	// extraTransmissions is how often each instance sends an update beyond the logarithm of the
 	// fleet size. The logarithm is what epidemic dissemination needs on average, since each round
@@ -60,7 +60,8 @@
 	defer t.mu.Unlock()
 	e := t.entries[incarnation]
 	var updates []*memberpb.Member
-	// An update sent to a crashed member would count as sent but reach nobody.
+	// A member that missed a heartbeat may have crashed: updates sent to it would count as sent
+	// but reach no instance.
 	if e == nil || !e.missedHeartbeat {
 		updates = t.nextUpdates()
 	}
