--- a/pkg/meeting/meeting.go
+++ b/pkg/meeting/meeting.go
@@ -25,28 +25,29 @@
 const (
 	// retryInterval is how often an instance that knows no other tries its seeds.
 	retryInterval = 250 * time.Millisecond
-	// minSeedAttempts is how many attempts at the seeds fail before the store is read: instances
-	// that start together refuse connections for some hundred milliseconds.
+	// minSeedAttempts is how many attempts to join the seeds must fail before the store is read:
+	// instances that start together refuse connections for several hundred milliseconds.
 	minSeedAttempts = 4
-	// storeRetryInterval is how often it reads the entries in the store while it knows no other.
+	// storeRetryInterval is how often an instance that knows no other reads the entries in the
+	// store.
 	storeRetryInterval = 2 * time.Second
 	// searchInterval is how often an instance that knows others searches for more: at seeds that are
-	// no members and, if it is a registrar, among the entries in the store. This joins groups that
-	// formed separately, or that were partitioned for longer than the member table keeps silent
-	// members. firstSearchDelay is the time to the first such search, since groups that form
-	// separately do so within the same seconds.
+	// not live members and, if it is a registrar, among the entries in the store. Such searches
+	// connect groups of instances that formed separately, or that were partitioned for longer than
+	// the member table keeps silent members. firstSearchDelay is the shorter time to the first
+	// search, since groups that form separately do so when the fleet starts.
 	searchInterval   = 10 * time.Second
 	firstSearchDelay = 2 * time.Second
-	// maxListedAttempts is how many attempts to join instances listed in the store fail before this
-	// instance concludes that it is the only one: instances that start at the same time do not answer
-	// yet.
+	// maxListedAttempts is how many attempts to join instances listed in the store must fail before
+	// this instance concludes that it is the only one: listed instances that start at the same time
+	// may not answer yet.
 	maxListedAttempts = 3
 	// maxConcurrentJoins bounds the listed instances that are contacted at once; each attempt picks
 	// them at random.
 	maxConcurrentJoins = 8
-	// settleTimeout is how long after the first contact the other instances count as known even if
-	// tables still differ, because instances keep joining. When 295 instances start at once, their
-	// tables converge within 1.3 s.
+	// settleTimeout is the time after the first contact from which on this instance counts as joined
+	// even if its table has not converged, which joining instances can delay. When 295 instances
+	// start at once, their tables converge within 1.3 s.
 	settleTimeout = 2 * time.Second
 	// numRegistrars is how many instances of a region keep an entry in the store, for instances
 	// whose seeds are all gone. If every instance kept one, a simultaneous start of the fleet
@@ -90,7 +91,7 @@
 	firstContact atomic.Pointer[time.Time]
 	// searches counts the searches for further instances; used by Run only.
 	searches int
-	// foundNobody says that the store lists no other instance that answers.
+	// foundNobody says that the store was read and lists no other instance that answers.
 	foundNobody atomic.Bool
 	// registered says that this instance has written its entry; the store may lose it.
 	registered atomic.Bool
@@ -164,8 +165,8 @@
 	return searchInterval
 }
 
-// DiscoverAt adds the instance at an address to the members; if it does not answer, the failure is
-// logged.
+// DiscoverAt exchanges full tables with the instance at an address, which adds that instance to the
+// members. If the exchange fails, the failure is logged.
 func (m *Discovery) DiscoverAt(ctx context.Context, address string) {
 	if err := m.Gossip.Join(ctx, address); err != nil {
 		m.Log.Event(eventlog.MembersUnknown, "", eventlog.Fields{"step": "meet", "peer": address, "cause": err.Error()})
@@ -180,7 +181,7 @@
 
 func (m *Discovery) isAlone() bool { return len(m.Table.Others()) == 0 }
 
-// joinSeeds joins the seeds that are no live members, and reports whether one answered.
+// joinSeeds joins the seeds that are not live members, and reports whether one answered.
 func (m *Discovery) joinSeeds(ctx context.Context) bool { return m.joinAll(ctx, m.UnknownSeeds()) }
 
 // joinAll joins the instances at all addresses concurrently, and reports whether one answered.
@@ -261,8 +262,8 @@
 	return addresses, nil
 }
 
-// joinListed joins some randomly chosen listed instances that are no live members, and reports
-// whether one answered.
+// joinListed joins up to maxConcurrentJoins listed instances that are not live members, chosen at
+// random, and reports whether one answered.
 func (m *Discovery) joinListed(ctx context.Context, listed []string) bool {
 	unknown := m.unknown(listed)
 	rand.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
