--- a/pkg/placement/cold.go
+++ b/pkg/placement/cold.go
@@ -50,9 +50,9 @@
 	s.assumedColdUntil = now.Add(p.coldPolicy.Duration)
 }
 
-// assumeReturnedCold treats upstreams as cold that are in service now but are not in before: whatever
-// took them out of service may have restarted them. An instance that starts has seen no upstream before
-// and relies on their registry entries instead.
+// assumeReturnedCold treats the upstreams in service as cold that are not in before, the list of those
+// previously in service: whatever took them out of service may have restarted them. If before is empty,
+// the instance has just started and relies on the upstreams' registry entries instead.
 func (p *Pool) assumeReturnedCold(before []*upstreamState, now time.Time) {
 	if len(before) == 0 {
 		return
@@ -68,16 +68,16 @@
 	}
 }
 
-// ReportUnreachable records that connecting to the upstream failed. When it can be reached again,
-// it may have restarted, so it counts as cold.
+// ReportUnreachable records that connecting to the upstream failed. The upstream counts as cold from
+// now on, since it may have restarted by the time it can be reached again.
 func (l *Lease) ReportUnreachable() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	l.pool.assumeCold(l.state, l.pool.now())
 }
 
-// countColdRequest counts a request against the limit of the upstream if that is cold and limited, and
-// reports whether it did.
+// countColdRequest counts a request against the limit on the upstream if the upstream is cold and
+// requests to cold upstreams are limited, and reports whether it did.
 func (p *Pool) countColdRequest(s *upstreamState, now time.Time) (counted bool) {
 	if !p.coldPolicy.limitsRequests() || !s.isCold(now) {
 		return false
--- a/pkg/placement/longprompt.go
+++ b/pkg/placement/longprompt.go
@@ -7,12 +7,12 @@
 )
 
 // An engine prefills a prompt in chunks, one in each decoding step of the streams that it
-// runs, and a chunk takes longer the further it is into the prompt. From about 25,000 tokens
-// on, the steps of one event of those streams add up to more than the pause that their
-// clients allow: under low load on 12 engines, 30 such prompts made 227 of 2,598 streams
-// late. So the longest prompts are sent to a few dedicated engines, which other requests
-// avoid. A stream counts as late at most once, so several long prompts at one engine cost
-// less than the same prompts spread over several.
+// runs, and a chunk takes longer the further it is into the prompt. In prompts of more than
+// about 25,000 tokens, the last chunks slow the steps so much that those of one event add up
+// to more than the pause that the clients of the streams allow: under low load on 12 engines,
+// 30 such prompts made 227 of 2,598 streams late. So the longest prompts are sent to a few
+// dedicated engines, which other requests avoid. A stream counts as late at most once, so several long prompts at one engine
+// cost less than the same prompts spread over several engines.
 //
 // In simulations with 12 engines and four seeds each, without a charge for processor time,
 // dedicated engines raised the value of the served requests from 0.673 to 0.707 and from
@@ -20,28 +20,29 @@
 // largest tenth of the summaries is served slightly worse, which offsets part of the gain.
 
 const (
-	// longPromptSteps is the prefill time from which on a prompt counts as long, in decoding
-	// steps of the greatest duration that streams allow: their allowed pause divided by the
-	// tokens in an event. Chunks get slower along a prompt, and from about this many steps on
-	// the later chunks exceed that duration. With 64 tokens prefilled in a millisecond, events
-	// of five tokens and pauses of 300 ms, this means prompts of 23,000 tokens; thresholds of
-	// 20,000, 26,000 and 33,000 tokens were simulated too. A threshold relative to the
-	// objective for the first event does not work: all prompts of a deployment with shorter
-	// objectives counted as long, and its score fell from 0.95 to 0.57.
+	// longPromptSteps defines long prompts: those whose prefill takes longer than this many
+	// decoding steps of the longest duration that streams allow, which is their allowed pause
+	// divided by the tokens in an event. Chunks get slower along a prompt, and in longer prompts
+	// the last chunks exceed that duration. With 64 tokens prefilled in a millisecond, events
+	// of five tokens and pauses of 300 ms, prompts of more than 23,000 tokens are long;
+	// thresholds of 20,000, 26,000 and 33,000 tokens were simulated too. A threshold relative
+	// to the objective for the first event does not work: all prompts of a deployment with
+	// shorter objectives counted as long, and its score fell from 0.95 to 0.57.
 	longPromptSteps = 9
-	// minEnginesPerDedicated bounds the engines dedicated to long prompts: at most one in so
-	// many.
+	// minEnginesPerDedicated bounds the engines dedicated to long prompts: at most one in
+	// this many engines.
 	minEnginesPerDedicated = 3
-	// dedicatedMargin is the ratio of the share of engines dedicated to long prompts to the
-	// share of prefill work that these cause. It exceeds 1 because a few large prompts collide
-	// at an engine more often than many small ones.
+	// dedicatedMargin is the share of engines that are dedicated to long prompts, divided by
+	// the share of prefill work that long prompts cause. It exceeds 1 because a few large
+	// prompts collide at an engine more often than many small ones.
 	dedicatedMargin = 1.5
-	// outsideGroupCost is the cost, in prompt tokens, of an engine of the other group (dedicated
-	// to long prompts, or not). A request goes there only if the engines of its own group have
-	// one more of the longest prompts queued before it.
+	// outsideGroupCost is the cost, in prompt tokens, of sending a long prompt to an engine that
+	// is not dedicated, or another prompt to one that is. At this cost, a request leaves the
+	// engines of its own group only if each of them has at least one more of the longest
+	// prompts to prefill first.
 	outsideGroupCost = 30000
 	// longShareWindow is the number of requests over which the share of long prompts is
-	// averaged exponentially.
+	// averaged, with exponentially decreasing weights.
 	longShareWindow = 500
 	// minAnswers is the number of answers that the prefill rate must be based on before any
 	// prompt counts as long; maxAnswersPerInstance caps the weight of one instance's answers.
@@ -60,8 +61,9 @@
 	// TokensPerSecond is the prefill rate, estimated from Answers answers.
 	TokensPerSecond float64
 	Answers         int64
-	// TotalTokens and LongTokens are exponentially decayed sums over all prompts and over the
-	// long ones: of their tokens, weighted up for long prompts.
+	// TotalTokens and LongTokens estimate the prefill work, as exponentially decayed sums of
+	// prompt tokens: of all prompts, and of the long ones. The tokens of a prompt have more
+	// weight the longer it is (addPrompt).
 	TotalTokens, LongTokens float64
 }
 
@@ -76,7 +78,8 @@
 	rate              prefillRate
 	ownTotal, ownLong float64
 	peers             map[string]peerStats
-	// Sums over the peers: answers, rates weighted by answers, and tokens.
+	// peerAnswers, peerWeightedRate, peerTotal and peerLong are sums over the peers: of answers,
+	// of prefill rates weighted by answers, and of the tokens of all and of long prompts.
 	peerAnswers, peerWeightedRate float64
 	peerTotal, peerLong           float64
 }
@@ -125,8 +128,9 @@
 	return (ownAnswers*r.rate.tokensPerSecond + r.peerWeightedRate) / (ownAnswers + r.peerAnswers)
 }
 
-// numDedicated returns how many of the engines are dedicated to long prompts: in proportion to
-// their share of the prefill work, so that both groups are about equally busy.
+// numDedicated returns how many of the engines are dedicated to long prompts. The number is in
+// proportion to the long prompts' share of the prefill work, so that both groups of engines are
+// about equally busy.
 func (r *prefillEstimate) numDedicated(numEngines int) int {
 	total := r.ownTotal + r.peerTotal
 	if total <= 0 || r.tokensPerSecond() == 0 {
--- a/pkg/placement/longprompt_test.go
+++ b/pkg/placement/longprompt_test.go
@@ -172,7 +172,7 @@
 	t.Logf("late of %d streams with shorter prompts: %d without and %d with dedicated engines; late with long prompts: %d and %d",
 		total/2, late[false], late[true], longLate[false], longLate[true])
 	if late[true]*3 > late[false]*2 {
-		t.Errorf("%d streams were late with dedicated engines, %d without", late[true], late[false])
+		t.Errorf("%d streams were late with dedicated engines, %d without; want at least a third fewer", late[true], late[false])
 	}
 }
 
--- a/pkg/placement/pool.go
+++ b/pkg/placement/pool.go
@@ -16,8 +16,8 @@
 const (
 	// waitingRequestCost is the cost of a waiting request: about one prompt to prefill.
 	waitingRequestCost = 4000
-	// runningRequestCost is the cost of a running request, which makes each step slightly
-	// longer.
+	// runningRequestCost is the cost of a running request, which makes each decoding step of
+	// the engine slightly longer.
 	runningRequestCost = 120
 	// coldCostFactor multiplies the cost of an engine that has just started.
 	coldCostFactor = 1.5
@@ -27,8 +27,8 @@
 	// cachedPartLifetime is how long a prompt part is assumed to stay in an engine's cache
 	// after this instance sent it there.
 	cachedPartLifetime = 8 * time.Second
-	// homeCachedShare is the share of a session's shared parts that its home engine is
-	// assumed to hold in its cache because all instances send the session there.
+	// homeCachedShare is the share of a session's shared parts that the session's home engine
+	// is assumed to have in its cache, because all instances send the session there.
 	homeCachedShare = 0.9
 )
 
--- a/pkg/placement/prefillrate.go
+++ b/pkg/placement/prefillrate.go
@@ -5,7 +5,8 @@
 // prefillRate estimates from answers how many prompt tokens engines prefill in a second while
 // they have little other work. The time from sending a request to its first event includes
 // other work of the engine, and the number of tokens that the engine had to prefill is itself
-// an estimate. So it tracks a quantile of the observed rates, which outliers hardly move.
+// an estimate. So prefillRate tracks a quantile of the observed rates, which outliers hardly
+// move.
 type prefillRate struct {
 	tokensPerSecond float64 // 0 until the first answer
 	answers         int64
@@ -14,8 +15,8 @@
 const (
 	// rateQuantile is the tracked quantile: three of four requests are prefilled no faster.
 	rateQuantile = 0.75
-	// firstRateStep is the relative change of the rate by the first answers. The step shrinks
-	// with the number of answers, down to lastRateStep.
+	// firstRateStep is the relative change of the rate per answer at the beginning. The step is
+	// divided by the number of answers, but is at least lastRateStep.
 	firstRateStep = 0.5
 	lastRateStep  = 0.02
 	// minPrefillTokens is the smallest prefill that is used as a sample: below it, the network
--- a/pkg/placement/upstream.go
+++ b/pkg/placement/upstream.go
@@ -36,16 +36,17 @@
 	registry.Upstream
 	// inFlight is the number of this instance's requests at the upstream.
 	inFlight int
-	// pendingTokens is the estimated prompt tokens that the engine still has to prefill for this
-	// instance's requests: those without a first event yet.
+	// pendingTokens is the estimated number of prompt tokens that the engine still has to prefill
+	// for those of this instance's requests that have had no event yet.
 	pendingTokens int64
 
-	// coldUntil is when the cold period ends that the registry entry states.
+	// coldUntil is when the cold period ends that the registry entry declares.
 	coldUntil time.Time
-	// assumedColdUntil is when the cold period ends after a restart that the instance
-	// only assumes.
+	// assumedColdUntil is when the cold period ends that this instance assumes because the
+	// upstream may have restarted without declaring it.
 	assumedColdUntil time.Time
 
+	// running and waiting are the requests at the upstream that it reported at reportedAt.
 	running, waiting int
 	reportedAt       time.Time
 	// sentSinceReport is the number of this instance's requests sent since the report.
@@ -61,13 +62,14 @@
 	// dedicationRank is the position in the order in which engines are dedicated to long
 	// prompts.
 	dedicationRank int
-	// partSentAt holds, by the id of a prompt part, when this instance last sent it there.
+	// partSentAt holds, by the id of a prompt part, when this instance last sent that part to
+	// the upstream.
 	partSentAt map[uint64]time.Time
 }
 
-// load estimates the number of requests at the upstream: the reported number, decayed by
-// its age, plus this instance's requests sent since the report, but at least those that this
-// instance has in flight there.
+// load estimates the number of requests at the upstream: the reported number, decayed by the
+// age of the report, plus the requests that this instance has sent since the report. The
+// estimate is at least the number of requests that this instance has in flight there.
 func (s *upstreamState) load(now time.Time) float64 {
 	inFlight := float64(s.inFlight)
 	if s.reportedAt.IsZero() {
