--- a/pkg/registry/emptied.go
+++ b/pkg/registry/emptied.go
@@ -9,12 +9,13 @@
 )
 
 // lostEmptiedLifetime is how long a domain still counts as emptied after the store was rolled back to
-// a copy that does not list it: operators write the list again within seconds.
+// a copy that does not list it. Within seconds operators empty the domain again.
 const lostEmptiedLifetime = 10 * time.Second
 
 // emptiedDomains holds the failure domains whose upstreams get no requests.
 type emptiedDomains struct {
-	// position is the store position that the domains reflect; it is zero before the first list.
+	// position is the store position up to which changes are applied to domains; zero before the
+	// first list.
 	position store.Position
 	domains  map[string]bool
 	// retainedUntil holds, for the domains that the store no longer lists after a rollback, the time until
@@ -106,8 +107,8 @@
 	r.emptied.position = store.Later(r.emptied.position, position)
 }
 
-// ExpireEmptiedDomains restores the domains that the store lost in a rollback and that were not
-// emptied again in time, and reports whether there were any.
+// ExpireEmptiedDomains restores the domains that the store lost in a rollback and that operators have not
+// emptied again within lostEmptiedLifetime. It reports whether there were any.
 func (r *Registry) ExpireEmptiedDomains() (restored bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/registry/entry.go
+++ b/pkg/registry/entry.go
@@ -12,8 +12,9 @@
 type Upstream struct {
 	// ID names the upstream; it may be the same after a restart.
 	ID string `json:"id"`
-	// Born is the Unix time of its start in milliseconds, by its own clock; 0 if unknown. Another
-	// value under the same ID is another incarnation, which has no state of the previous one.
+	// Born is the Unix time of its start in milliseconds, by its own clock; 0 if unknown. An entry
+	// with the same ID and another value is another incarnation, which has none of the state of
+	// the previous one.
 	Born    int64  `json:"born,omitempty"`
 	Service string `json:"service"`
 	// Address is its IP address and port. After the upstream is gone the address may belong to an
--- a/pkg/registry/era.go
+++ b/pkg/registry/era.go
@@ -8,11 +8,11 @@
 
 // Bounds on the records of upstreams that left.
 const (
-	// departureLifetime is how long a record is kept: a copy that the store is rolled back to is
-	// some seconds old.
+	// departureLifetime is how long a record is kept. A copy that the store is rolled back to is
+	// only some seconds old, so older departures are in the copy.
 	departureLifetime = time.Minute
-	// maxDepartures is how many records are kept: when 300 upstreams are all replaced, each
-	// leaves once.
+	// maxDepartures bounds the records. When 300 upstreams are all replaced, each of them leaves
+	// once, which makes 300 records.
 	maxDepartures = 1024
 )
 
@@ -37,11 +37,11 @@
 	r.departures[u.ID] = departure{born: u.Born, until: now.Add(departureLifetime)}
 }
 
-// noteRollback adjusts the first list of a later era, in which the store was rolled back to an older
-// copy. An upstream that announced later than the copy that it leaves is listed there as in service,
-// and would get requests that break off when it exits. It counts as leaving until its entry is
-// written again. Entries that the copy lacks may belong to live upstreams, which write them again;
-// r.mu is held.
+// noteRollback adjusts the first list of a later era, which begins when the store is rolled back to an
+// older copy. The list shows an upstream as in service that announced its leaving after the copy was
+// made; requests sent to it would break off when it exits. Such an upstream counts as leaving until its
+// entry is written again. Entries that the copy lacks may belong to live upstreams, which write them
+// again, so they are retained as after an outage; r.mu is held.
 func (r *Registry) noteRollback(list []Upstream) {
 	r.staleEntries = map[string]store.Position{}
 	for i := range list {
@@ -61,8 +61,9 @@
 	return known && d.born == u.Born && r.now().Before(d.until)
 }
 
-// withStaleAsLeaving returns an entry as it is to be applied: as leaving if it is stale, that is,
-// the upstream has not written it since the store was rolled back; r.mu is held.
+// withStaleAsLeaving returns the entry to apply instead of one that was read from the store. If the entry
+// is in staleEntries and the upstream has not written it since the rollback, the returned one is
+// leaving; r.mu is held.
 func (r *Registry) withStaleAsLeaving(u Upstream) Upstream {
 	stalePosition, stale := r.staleEntries[u.ID]
 	if !stale {
--- a/pkg/registry/occupant.go
+++ b/pkg/registry/occupant.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// goneOccupantLifetime is how long the last incarnation at an address is kept after its entry is
-// gone: an upstream that crashed is back within seconds.
+// goneOccupantLifetime is how long the last incarnation at an address is kept after its entry was
+// removed. An upstream that crashed is back at its address within seconds.
 const goneOccupantLifetime = 30 * time.Second
 
 // occupant is the last known incarnation at an address.
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -17,8 +17,8 @@
 	now func() time.Time
 
 	mu sync.Mutex
-	// position is the store position that the entries reflect; it is zero before the first full
-	// list.
+	// position is the store position up to which changes are applied to entries; zero before the
+	// first full list.
 	position store.Position
 	entries  map[string]Upstream
 	// retainedUntil holds, for entries that are missing after an outage, the time until which they are
@@ -31,8 +31,9 @@
 	byService        map[string][]Upstream // in-service upstreams by service, sorted by ID
 	// restarted holds the addresses of upstreams that restarted under the same ID.
 	restarted []string
-	// departures records upstreams that left, by ID. staleEntries holds the positions of entries
-	// that are older in the store after a rollback than what was known before (noteRollback).
+	// departures records upstreams that left, by ID. staleEntries holds, by ID, the positions of
+	// entries that a rollback of the store shows as in service although their upstreams had
+	// announced that they leave (noteRollback).
 	departures   map[string]departure
 	staleEntries map[string]store.Position
 	// occupants holds the last incarnation at each address, superseded those that were followed by
@@ -136,8 +137,8 @@
 	r.invalidateIndex()
 }
 
-// Discard immediately removes an entry that is no longer usable. Since such an entry did not lapse, it
-// is not kept after an outage either.
+// Discard immediately removes an entry that has become unusable in the store. Unlike one that lapsed
+// during an outage of the store, such an entry is not kept for a while.
 func (r *Registry) Discard(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +165,7 @@
 }
 
 // TakeRestarted returns the addresses of upstreams that restarted under the same ID since the
-// previous call: existing connections to them are dead.
+// previous call. Connections to the processes before the restart are dead.
 func (r *Registry) TakeRestarted() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -205,7 +206,7 @@
 	r.removeEntry(id)
 }
 
-// Expire removes the lapsed entries that were not written again in time, and returns their addresses.
+// Expire removes the retained entries that were not written again in time, and returns their addresses.
 func (r *Registry) Expire() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -150,9 +150,9 @@
 	}
 }
 
-// Guards against missed crashes, when the next process at an address does not supersede the previous
-// one, and against planned stops counted as crashes, when an incarnation that had announced that it
-// leaves is reported as superseded.
+// Guards against missed crashes and against planned stops that count as crashes. An incarnation must be
+// reported as superseded when another one appears at its address, but not if it had announced that it
+// leaves.
 func TestSupersededIncarnationsAreTold(t *testing.T) {
 	r, c := newTestRegistry()
 	entry := func(id, address string, version store.Version, leaving bool) Upstream {
@@ -188,8 +188,8 @@
 	return ids
 }
 
-// Guards against requests to upstreams of a domain that operators have emptied: those that exist,
-// those that start there later, and all of them after another list that contains the domain.
+// Guards against requests to upstreams of a domain that operators have emptied: to those in service at
+// that time, to those that start there later, and to both after another list that contains the domain.
 func TestEmptiedDomainIsOutUntilItIsRestored(t *testing.T) {
 	r := New(time.Now)
 	r.Replace([]Upstream{{ID: "a", Service: "s", Domain: "x"}, {ID: "b", Service: "s", Domain: "y"}}, store.At(1))
