--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -99,8 +99,9 @@
 	})
 }
 
-// The queue cannot drain before a request's deadline. The request must be refused
-// immediately with a time to retry after, not held until its deadline.
+// Guards against requests that wait although they cannot start in time. If the queue
+// cannot drain before a request's deadline, the request must be refused immediately
+// with a time to retry after, not held until its deadline.
 func TestHopelessIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := poolOf(1, 1)
@@ -119,12 +120,12 @@
 		_, err = p.Acquire(t.Context(), Request{Pool: "drafts", StartBy: time.Now().Add(5 * time.Second)})
 		var overload *OverloadError
 		if !errors.As(err, &overload) || overload.RetryAfter < 10*time.Second {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want an OverloadError with RetryAfter of at least 10s", err)
 		}
 		if waited := time.Since(before); waited != 0 {
 			t.Errorf("the request was held for %v before it was refused", waited)
 		}
-		for range 6 { // let the others end
+		for range 6 { // let the running requests end
 			p.mu.Lock()
 			u := p.available[0]
 			p.mu.Unlock()
--- a/pkg/dispatch/picker.go
+++ b/pkg/dispatch/picker.go
@@ -26,8 +26,8 @@
 	// otherDomainCost is the cost of an upstream in another failure domain, in
 	// requests.
 	otherDomainCost = 0.5
-	// maxAffinityExcess is the most by which the cost of the prefix's upstream may
-	// exceed that of the best candidate, in requests.
+	// maxAffinityExcess bounds the affinity to the prefix's upstream: it is chosen while
+	// its cost exceeds that of the best candidate by no more than this, in requests.
 	maxAffinityExcess = 6.0
 	// loadHalfLife is the age at which a reported load has half its weight.
 	loadHalfLife = 10 * time.Second
@@ -58,10 +58,9 @@
 	avoidUntil          time.Time
 }
 
-// cost returns the expected work at the upstream including a new request, in
-// requests of the pool's mean service time. The requests at an upstream that takes
-// four times as long count four times, since each delays the new one four times as
-// much.
+// cost returns the expected work at the upstream, including a new request. The unit is
+// a request of the pool's mean service time: at an upstream that takes four times as
+// long, each request counts four times, since it delays a new one four times as much.
 func (p *Pool) cost(u *upstreamState, now time.Time) float64 {
 	work := float64(u.inFlight)
 	if u.reportedLoad > 0 {
@@ -97,8 +96,8 @@
 	maxConcurrent int
 	available     []*upstreamState
 	byName        map[string]*upstreamState
-	// declared are the upstreams of the document, emptied the failure domains whose upstreams get no
-	// new requests.
+	// declared holds the upstreams of the document in force, emptied the failure domains whose
+	// upstreams get no new requests.
 	declared    []document.Upstream
 	emptied     map[string]bool
 	waitLists   [2]waitList // urgent requests, then the others
--- a/pkg/dispatch/queue.go
+++ b/pkg/dispatch/queue.go
@@ -12,7 +12,8 @@
 // minRetryAfter is the shortest time after which a refused client is told to retry.
 const minRetryAfter = time.Second
 
-// OverloadError is the refusal of a request that cannot start before its deadline.
+// OverloadError means that a request was refused because it cannot start before its
+// deadline.
 type OverloadError struct {
 	// Step is "queue", Peer the name of the pool.
 	Step, Peer string
