--- a/pkg/budget/collector.go
+++ b/pkg/budget/collector.go
@@ -9,8 +9,8 @@
 )
 
 // maxSettledRemembered bounds the ids of settled grants that are kept to answer
-// late reports. A report about a dropped id is answered as unknown, and the
-// spender then settles with the ledger directly.
+// late reports. A report about an id that is no longer kept is answered as
+// unknown, and the spender then settles with the ledger directly.
 const maxSettledRemembered = 4096
 
 // closedGrant holds what spenders have reported about a closed grant.
@@ -20,8 +20,8 @@
 	dirty      bool
 }
 
-// Collector collects reports about closed grants. They are written to the ledger
-// in batches, with one write for each shard.
+// Collector collects the usages that spenders report about closed grants, until
+// the node has written them to the ledger, with one write for each shard.
 type Collector struct {
 	mu      sync.Mutex
 	grants  map[string]*closedGrant
--- a/pkg/budget/grant.go
+++ b/pkg/budget/grant.go
@@ -14,12 +14,12 @@
 	returned  int64
 }
 
-// grant is a block of tokens that this instance has drawn. Invariants:
+// grant is a block of tokens that this instance has drawn. Invariant:
 // allocated ≤ signed ≤ drawn + returned. So spenders never hold more tokens than
-// were drawn, and the witness knows an upper bound on what was allocated.
+// were drawn, and the witness knows an upper bound on the allocated tokens.
 type grant struct {
 	id, budget, witness string
-	unconfirmed         bool // no write has yet found or created it in the ledger
+	unconfirmed         bool // no write has yet found or created the grant in the ledger
 	drawn               int64
 	signed              int64
 	allocated           int64 // sum over spenders, cumulative
--- a/pkg/budget/holder.go
+++ b/pkg/budget/holder.go
@@ -40,9 +40,10 @@
 	return b
 }
 
-// allocate allocates signed tokens to a spender: the whole need, if that many are
-// allocatable, and some of what the spender wants ahead. It allocates only once
-// for each seq, so a request retried after a lost answer returns the same lots.
+// allocate allocates signed tokens to a spender: as many as it needs, or all that
+// are allocatable if these are fewer, and some of those it requests ahead of its
+// demand. It allocates only once for each seq, so a request retried after a lost
+// answer returns the same lots.
 func (h *Holder) allocate(req *budgetpb.AllocateRequest) *budgetpb.AllocateReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -145,9 +146,9 @@
 	return out
 }
 
-// signRequest returns a budget's witness and the state that it has to sign so
-// that need tokens can be allocated. The state is nil if there is nothing to
-// sign.
+// signRequest returns the witness of a budget's open grant, and the state of the
+// grant that the witness has to sign so that need tokens can be allocated. The
+// state is nil if there is nothing to sign.
 func (h *Holder) signRequest(budget string, need int64) (string, *budgetpb.GrantState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -178,9 +179,9 @@
 	return state
 }
 
-// mergeSignatures merges a witness's answer and returns the grants for which the
-// witness refused to sign because it has closed them. A signature never lowers the
-// signed total.
+// mergeSignatures merges a witness's answer and returns the grants that the
+// witness refused to sign because it has closed them. A signature never lowers
+// a grant's signed total.
 func (h *Holder) mergeSignatures(witness string, sent []*budgetpb.GrantState, signatures []*budgetpb.Signature) []*grant {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/budget/interfaces.go
+++ b/pkg/budget/interfaces.go
@@ -33,8 +33,8 @@
 	Sign(ctx context.Context, to string, req *budgetpb.SignRequest) (*budgetpb.SignReply, error)
 }
 
-// Fleet is the view of the other instances. It may be wrong without making any
-// budget overspend.
+// Fleet is this instance's view of the other instances. A wrong view never lets a
+// budget be overspent.
 type Fleet interface {
 	// Holders returns the incarnations to ask for a shard's budgets, nearest first.
 	Holders(shard int) []string
@@ -42,8 +42,8 @@
 	// grants, other than except, which has just failed; empty if no other is
 	// known.
 	Witness(except string) string
-	// Silent reports whether no sign of life of an incarnation has arrived for
-	// longer than the silence timeout.
+	// Silent reports whether an incarnation counts as silent: it has sent no
+	// message for the silence timeout, or was declared silent.
 	Silent(incarnation string) bool
 }
 
@@ -75,14 +75,15 @@
 	Self string
 	// Shards is the number of ledger shards.
 	Shards int
-	// AllocateAhead is the period of demand for which a spender keeps tokens
-	// allocated.
+	// AllocateAhead is how long the tokens that a spender keeps allocated last at
+	// its present demand.
 	AllocateAhead time.Duration
-	// SignAhead is the period of demand for which a holder keeps tokens
-	// countersigned. A crash leaves no more than that in doubt.
+	// SignAhead is how long the unallocated tokens that a holder keeps
+	// countersigned last at its present demand. A crash leaves no more than that
+	// in doubt.
 	SignAhead time.Duration
-	// DrawAhead is the period of demand for which a holder keeps tokens drawn, so
-	// that they last through an outage of the store.
+	// DrawAhead is how long the unallocated tokens that a holder keeps drawn last
+	// at its present demand, so that an outage of the store does not exhaust them.
 	DrawAhead time.Duration
 	// ExtraDrawDivisor bounds what one draw may take beyond the present need:
 	// 1/ExtraDrawDivisor of the budget's remaining free tokens. Default 4.
@@ -90,14 +91,15 @@
 	// RecordInterval is the minimum time between two writes of a holder to one
 	// shard that only record used tokens.
 	RecordInterval time.Duration
-	// MinSignedTokens is the minimum number of tokens countersigned ahead.
+	// MinSignedTokens is the minimum number of tokens countersigned beyond those
+	// that are allocated.
 	MinSignedTokens int64
 	// Unwitnessed lets holders allocate without a countersignature; the
 	// experiment uses it as a baseline.
 	Unwitnessed bool
 }
 
-// Defaults of Config.
+// Defaults of Config, and the smoothing of the demand rates.
 const (
 	DefaultAllocateAhead    = 2 * time.Second
 	DefaultSignAhead        = 2 * time.Second
--- a/pkg/budget/lot.go
+++ b/pkg/budget/lot.go
@@ -95,9 +95,9 @@
 	})
 }
 
-// returnSurplus returns free tokens beyond keep. A token is counted as returned
-// before the report is sent: if the report is lost, the token is unavailable to
-// every instance for a while, but never available to two.
+// returnSurplus returns the free tokens beyond keep. They count as returned before
+// the report that says so is sent. If the report is lost, no instance can spend
+// them until the next report, but never can two instances.
 func (b *balance) returnSurplus(keep int64) {
 	surplus := b.free() - keep
 	for _, l := range b.lots {
--- a/pkg/budget/node.go
+++ b/pkg/budget/node.go
@@ -15,8 +15,9 @@
 	// later reservations of the same size or more, so that an exhausted client
 	// account does not cause a search for each request.
 	denialLifetime = 100 * time.Millisecond
-	// directSettleInterval is the minimum time between two settlements that
-	// bypass the same holder and its witness and go to the ledger directly.
+	// directSettleInterval is the minimum time between two direct settlements for
+	// the same holder, which bypass the holder and its witness and write usages
+	// to the ledger.
 	directSettleInterval = 10 * time.Second
 	// maxRefillRounds bounds the rounds of one refill.
 	maxRefillRounds = 3
@@ -90,9 +91,9 @@
 // Settle ends a reservation; see Spender.Settle.
 func (n *Node) Settle(r *Reservation, used int64) int64 { return n.spender.Settle(r, used) }
 
-// Reserve reserves tokens for one request, from this instance's lots or, if they
-// do not suffice, with tokens allocated by the holders, nearest first. Errors:
-// *ShortError.
+// Reserve reserves tokens for one request from this instance's lots. If they do not
+// suffice, it asks the holders to allocate the missing tokens, nearest holder
+// first. Errors: *ShortError.
 func (n *Node) Reserve(ctx context.Context, budget string, tokens int64, into *Reservation) error {
 	if n.spender.TryReserve(budget, tokens, into) {
 		return nil
@@ -172,10 +173,11 @@
 	return reply, nil
 }
 
-// refill tries to make need tokens of a budget allocatable: it has drawn tokens
-// signed, draws tokens from the ledger, and from the second round on recalls
-// tokens from spenders. It reports whether the budget is exhausted: the witness,
-// the ledger and the spenders all answered, and the tokens still do not suffice.
+// refill tries to make need tokens of a budget allocatable. In each round it asks
+// the witness to sign drawn tokens and draws more from the ledger; from the second
+// round on it also recalls tokens from spenders other than requester. It reports
+// whether the budget is exhausted: the witness, the ledger and the spenders all
+// answered, and the tokens still do not suffice.
 func (n *Node) refill(ctx context.Context, budget string, need int64, requester string) (exhausted bool) {
 	b := n.holder.getOrCreateBudget(budget)
 	b.refillMu.Lock()
@@ -250,10 +252,10 @@
 }
 
 // writeShard writes the holder's updates for one shard to the ledger, together
-// with the prepaid amounts in force, in one conditional write. Making the
-// updates, writing them and merging the results happens for one write to a shard
-// at a time: a grant can grow and shrink, and results merged in the wrong order
-// would make it appear larger than it is.
+// with the prepaid amounts in force, in one conditional write. A lock of the shard
+// is held while the updates are made and written and their results merged: a grant
+// can grow and shrink, and results merged in the wrong order would make it appear
+// larger than it is.
 func (n *Node) writeShard(ctx context.Context, shard int, makeUpdates func() []ledgerUpdate) error {
 	n.shardLocks[shard].Lock()
 	defer n.shardLocks[shard].Unlock()
@@ -346,8 +348,9 @@
 	return n.witness.sign(req), nil
 }
 
-// Report handles a spender's usages: those of open grants as their holder, those
-// of closed grants as the instance that collects their usages.
+// Report handles the usages that a spender reports. Those of grants that are open
+// at this instance go to its holder, the others to its collector, which accepts
+// them if this instance has closed the grant as its holder or witness.
 func (n *Node) Report(_ context.Context, req *budgetpb.ReportRequest) (*budgetpb.ReportReply, error) {
 	lots, notOpen := n.holder.mergeReport(req.Spender, req.Usages)
 	closed := n.collector.report(notOpen)
@@ -368,9 +371,9 @@
 func (n *Node) unallocatedSpender() string { return n.cfg.Self + "/unallocated" }
 
 // closeGrant closes a removed grant in the ledger. If its witness has closed it
-// already, closeGrant returns the part that was signed but never allocated, which
-// no other instance knows. Usages that cannot be written now stay with the
-// collector.
+// already, closeGrant returns the tokens that were signed but never allocated,
+// whose number no other instance knows. Usages that cannot be written now stay
+// with the collector.
 func (n *Node) closeGrant(ctx context.Context, g *grant) {
 	usages := g.usages()
 	n.collector.addGrant(g.id, g.budget, usages)
--- a/pkg/budget/plan.go
+++ b/pkg/budget/plan.go
@@ -18,8 +18,9 @@
 }
 
 // plan updates the demand rates for the interval since the last tick and
-// collects the work of this tick. If recordDue, grants are updated in the ledger
-// too. mustReplace reports whether a witness has to be replaced.
+// collects the work of this tick. Updates of grants in the ledger are included
+// only if recordDue is set. mustReplace reports whether a witness has to be
+// replaced.
 func (h *Holder) plan(interval time.Duration, recordDue bool, mustReplace func(string) bool) tickPlan {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/budget/reservation.go
+++ b/pkg/budget/reservation.go
@@ -9,8 +9,8 @@
 	tokens int64
 }
 
-// Reservation reserves tokens for one request. It must be settled exactly once;
-// settling it again changes nothing.
+// Reservation holds the tokens reserved for one request, until it is settled. Every
+// reservation must be settled; settling it again changes nothing.
 type Reservation struct {
 	budget   string
 	parts    [maxParts]reservationPart
--- a/pkg/budget/safety_test.go
+++ b/pkg/budget/safety_test.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// available returns the tokens that are reserved for open requests or free at the
-// present instances.
+// available returns the tokens of a budget that are reserved for open requests, or
+// free at instances that have not crashed.
 func (h *history) available(name string) int64 {
 	var tokens int64
 	for _, request := range h.openRequests {
@@ -236,9 +236,9 @@
 }
 
 // endFaults ends all faults and requests, runs some ticks, and checks the ledger
-// against the engines' count: it may hold more tokens than were spent, since the
-// part of an instance that crashed stays in doubt, but never fewer, and it never bills
-// more.
+// against the engines' count of spent tokens. The ledger may hold more tokens than
+// were spent, since those of crashed instances stay in doubt, but never fewer, and
+// it never bills more.
 func (h *history) endFaults() {
 	h.fleet.Faults = fleetfake.Faults{}
 	for index := range h.fleet.Instances {
--- a/pkg/budget/settle.go
+++ b/pkg/budget/settle.go
@@ -7,9 +7,9 @@
 	"github.com/lavenderring/lavenderring/pkg/ledger"
 )
 
-// settleForSilentHolders writes this spender's usages of lots whose holder is
-// silent to the ledger directly, in case the witness is unavailable too. Grants
-// that are still open in the ledger are left to their holder.
+// settleForSilentHolders writes the usages of this spender's lots from silent
+// holders directly to the ledger, in case their witnesses are unavailable too.
+// Grants that are still open in the ledger are left to their holders.
 func (n *Node) settleForSilentHolders(ctx context.Context) {
 	for _, holder := range n.spender.holders() {
 		if holder == n.cfg.Self || !n.fleet.Silent(holder) || !n.directSettleDue(holder) {
--- a/pkg/budget/spender.go
+++ b/pkg/budget/spender.go
@@ -152,8 +152,8 @@
 // reports holds, by target, the usages that have not been reported yet.
 type reports map[reportTarget][]*budgetpb.Usage
 
-// reportTarget names the instances that accept the report of a lot: the holder,
-// or its witness once the holder is silent.
+// reportTarget names the instances that accept the report of a lot: its holder, or
+// its witness once the holder is silent.
 type reportTarget struct{ holder, witness string }
 
 // tick ends a measuring interval of the given length: it updates the demand rates,
@@ -188,7 +188,7 @@
 }
 
 // markReported records which usages were accepted, and drops the lots whose
-// grants are settled. Changes since the report was made remain to be reported.
+// grants are settled. Usage since the report was made remains to be reported.
 func (s *Spender) markReported(usages []*budgetpb.Usage, settled []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/budget/stop.go
+++ b/pkg/budget/stop.go
@@ -18,8 +18,9 @@
 }
 
 // Stop returns all tokens on a planned stop; all requests must have ended. It
-// reports whether all grants are closed in the ledger. If not, their tokens stay
-// in doubt until the usages of the spenders and of this instance are recorded.
+// reports whether all of this instance's grants are closed in the ledger. The
+// tokens of a grant that is not stay in doubt until the usages of its spenders and
+// of this instance are recorded.
 func (n *Node) Stop(ctx context.Context) bool {
 	n.spender.stop()
 	n.sendReports(ctx, time.Second)
--- a/pkg/budget/takeover.go
+++ b/pkg/budget/takeover.go
@@ -7,8 +7,8 @@
 )
 
 // takeOverFromSilentHolders reclaims the unsigned rest of the grants of silent
-// holders. This is safe if a holder is only paused or partitioned: it can only
-// allocate signed tokens, and the grant still holds those.
+// holders. This is safe even if a holder is only paused or partitioned: it can
+// allocate signed tokens only, and those stay held by the grant.
 func (n *Node) takeOverFromSilentHolders(ctx context.Context) {
 	for _, holder := range n.witness.holders() {
 		if !n.fleet.Silent(holder) {
@@ -34,9 +34,9 @@
 	return before
 }
 
-// reclaimFrom reclaims a holder's grants in all shards, including grants that name
-// this instance as witness but that it has never signed: no token of those was
-// allocated on its signature. It reports whether all shards could be processed.
+// reclaimFrom reclaims a holder's grants in all shards, including those that name
+// this instance as witness but that it has never signed: no token of such a grant
+// was allocated on its signature. It reports whether all shards were processed.
 func (n *Node) reclaimFrom(ctx context.Context, holder string) bool {
 	grantIDs := n.witness.grantIDsOf(holder)
 	for shard := 0; shard < n.cfg.Shards; shard++ {
--- a/pkg/budget/update.go
+++ b/pkg/budget/update.go
@@ -20,7 +20,7 @@
 	signed       int64
 	minDrawn     int64 // lower bound of Drawn when tokens are returned
 	minFree      int64 // if fewer tokens are free, a shortage is recorded
-	settleReturn bool  // a return of tokens is made or not settled yet
+	settleReturn bool  // the write returns tokens, or settles whether an earlier return took effect
 	unconfirmed  bool
 	nameWitness  bool
 }
@@ -36,14 +36,14 @@
 	recorded *ledger.Grant
 }
 
-// shortageThreshold is the period of demand that a holder's unallocated tokens
-// and the ledger's free tokens should last for. If they do not, the holder
-// records a shortage in the ledger.
+// shortageThreshold is how long a holder's unallocated tokens and the ledger's free
+// tokens together should last at the holder's demand. If they would not, the
+// holder records a shortage in the ledger.
 const shortageThreshold = 15 * time.Second
 
-// keepDuringShortage is the period of demand for which a holder keeps tokens
-// during a shortage. Near exhaustion tokens are more useful in the ledger, where
-// every side of a network partition can draw them.
+// keepDuringShortage is how long the tokens that a holder keeps during a shortage
+// last at its own demand. Near exhaustion tokens are more useful in the ledger,
+// where every side of a network partition can draw them.
 const keepDuringShortage = 3 * time.Second
 
 func (h *Holder) newUpdate(g *grant, need int64) ledgerUpdate {
@@ -90,7 +90,7 @@
 }
 
 // tickUpdate returns the update of one tick: it records used tokens, and draws
-// more if the unallocated tokens do not cover the demand of half of DrawAhead.
+// more if the unallocated tokens last for less than half of DrawAhead.
 func (h *Holder) tickUpdate(g *grant) ledgerUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,10 +101,10 @@
 	return u
 }
 
-// nameWitnessUpdate returns the update that names another witness. Signatures are
-// ignored from now on until the ledger names the new witness. The new witness
-// relies on the total signed now, and a late signature of the old one would let
-// this holder allocate tokens that the new one frees when it reclaims the grant.
+// nameWitnessUpdate returns the update that names another witness. From now until
+// the ledger names it, signatures are ignored: the new witness relies on the total
+// that is signed now, and with a late signature of the old one this holder could
+// allocate tokens that the new one frees when it reclaims the grant.
 func (h *Holder) nameWitnessUpdate(g *grant, witness string) ledgerUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -125,10 +125,11 @@
 	return g.shortage > g.unallocated()
 }
 
-// returnUpdate returns the update that returns spare tokens during a shortage:
-// unallocated tokens beyond keepDuringShortage of the holder's own demand. They do
-// not count as part of the grant until the write is settled, since a signature on
-// them in the meantime would let them be spent here and drawn by another holder.
+// returnUpdate returns the update that returns spare tokens during a shortage: the
+// unallocated tokens beyond those that the holder keeps for keepDuringShortage.
+// Until it is settled whether the write took effect, the spare tokens do not count
+// as part of the grant: with a signature on them in the meantime, they could be
+// spent here and also drawn by another holder.
 func (h *Holder) returnUpdate(g *grant) (ledgerUpdate, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,9 +149,9 @@
 	return u, true
 }
 
-// apply applies the update to a shard. The amount drawn depends on the committed
-// state: the need, if it is free, and beyond it at most a fraction of what is
-// free, so that other holders can draw too.
+// apply applies the update to a shard. How many tokens it draws depends on the
+// committed state: the need, if that many are free, and beyond it at most
+// 1/extraDrawDivisor of the rest, so that other holders can draw too.
 func (u ledgerUpdate) apply(shard *ledger.Shard, self string, extraDrawDivisor int64) ledgerResult {
 	result := ledgerResult{update: u}
 	b := shard.Budgets[u.budget]
@@ -229,10 +230,10 @@
 	return lost
 }
 
-// mergeDrawn sets drawn to the ledger's value. The value is current, since writes
-// to a shard happen one at a time. But while a return of tokens is not settled, an
-// older write of it may still take effect, and only a write that settles the
-// return may raise drawn again.
+// mergeDrawn sets drawn to the ledger's value. The value is current, since this
+// holder writes to a shard once at a time. But while a return of tokens is not
+// settled, an older write of the return may still take effect, so only the result
+// of a write that settles the return may raise drawn again.
 func (g *grant) mergeDrawn(r ledgerResult) {
 	if g.pendingReturn > 0 && !r.update.settleReturn {
 		return
--- a/pkg/budget/witness.go
+++ b/pkg/budget/witness.go
@@ -18,7 +18,7 @@
 
 // Witness countersigns other instances' grants. It never lowers a signed total
 // and, once it has closed a grant, never signs it again. It closes a grant before
-// the write that reclaims the rest, so a holder that resumes late gets no
+// the write that reclaims the unsigned rest, so a holder that resumes late gets no
 // signature that the reclaim did not take into account.
 type Witness struct {
 	mu     sync.Mutex
@@ -81,8 +81,8 @@
 	return out
 }
 
-// closeGrant closes a grant, whether known or not, so that it is not signed again.
-// It returns the signed total and the reported usages.
+// closeGrant closes a grant, even one that this witness has never signed, so that
+// it is not signed afterwards. It returns the signed total and the reported usages.
 func (w *Witness) closeGrant(grantID, budget, holder string) (int64, map[string]ledger.Usage) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
