--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -4,8 +4,8 @@
 // every change to it is one conditional write.
 //
 // Invariant, at every committed version and for every budget: no write raises
-// Settled plus the sum of Held over the budget's grants above Prepaid. Reducing
-// Prepaid may leave it below that sum; then no more tokens can be drawn.
+// Settled plus the sum of Held over the budget's grants above Prepaid. A reduction
+// of Prepaid may leave Prepaid below that sum; then no more tokens can be drawn.
 package ledger
 
 import (
@@ -37,7 +37,8 @@
 type Usage struct {
 	// Used is the number of tokens spent.
 	Used int64 `json:"used"`
-	// Returned is the number of tokens the spender gave back and will not spend.
+	// Returned is the number of tokens that the spender gave back and will not
+	// spend.
 	Returned int64 `json:"returned"`
 }
 
@@ -53,9 +54,9 @@
 	// Witness is the incarnation that countersigns the grant; empty if there is
 	// none.
 	Witness string `json:"witness,omitempty"`
-	// Signed is the number of tokens, cumulative, that the holder was allowed to
-	// allocate when it named the witness. The witness may since have signed a
-	// larger total.
+	// Signed is the cumulative number of tokens that the holder was allowed to
+	// allocate when it named the witness. The witness may have signed a larger
+	// total since.
 	Signed int64 `json:"signed,omitempty"`
 	// Drawn is the number of tokens in the grant while it is open.
 	Drawn int64 `json:"drawn"`
@@ -75,9 +76,9 @@
 	Usages map[string]Usage `json:"evidence,omitempty"`
 }
 
-// Spent returns the tokens of the grant known to be spent. Usages that add up to
-// more than Held are wrong; they are capped, since they must not settle tokens
-// that other grants drew.
+// Spent returns the number of the grant's tokens known to be spent. Usages that add
+// up to more than Held are wrong. Their sum is capped at Held, since they must not
+// settle tokens that other grants drew.
 func (g *Grant) Spent() int64 {
 	var used int64
 	for _, u := range g.Usages {
@@ -86,8 +87,8 @@
 	return min(max(used, g.Used), g.Held())
 }
 
-// InDoubt returns the tokens of a closed grant that no spender has reported as
-// used or returned.
+// InDoubt returns the number of tokens of a closed grant that no spender has
+// reported as used or returned.
 func (g *Grant) InDoubt() int64 {
 	if !g.Closed {
 		return 0
@@ -99,11 +100,11 @@
 	return min(max(unaccounted, 0), g.Held()-g.Spent())
 }
 
-// Held returns the tokens of the budget that the grant makes unavailable to
-// others. For a closed grant these are the tokens allocated to spenders and not
-// returned; a token that was returned and allocated again counts again in
-// Allocated too. Spenders never hold more than Drawn tokens at a time, so Drawn
-// bounds the result while returns have not been reported yet.
+// Held returns the number of the budget's tokens that other grants cannot draw
+// because of this one. For a closed grant these are the tokens that were allocated
+// to spenders and not returned. Allocated and the usages both count a token again
+// each time it is allocated or returned. Spenders never hold more than Drawn tokens
+// at a time, so Drawn bounds the result while returns have not been reported yet.
 func (g *Grant) Held() int64 {
 	if !g.Closed {
 		return g.Drawn
@@ -123,15 +124,15 @@
 	// removed.
 	Settled int64 `json:"settled"`
 	// Shortage is the number of tokens that a holder needed and did not find
-	// free. Holders with spare tokens return them to the ledger, so tokens reach
-	// the other side of a network partition through the store.
+	// free. Holders with spare tokens then return some to the ledger, so tokens
+	// cross a network partition through the store.
 	Shortage int64 `json:"wanted,omitempty"`
 	// Grants holds the grants that are not settled, by id.
 	Grants map[string]*Grant `json:"grants,omitempty"`
 }
 
-// Free returns the tokens that may be drawn. It is negative if Prepaid was
-// reduced below what is settled and held.
+// Free returns the number of tokens that may be drawn. It is negative if Prepaid was
+// reduced below the settled and held tokens.
 func (b *Budget) Free() int64 {
 	free := b.Prepaid - b.Settled
 	for _, g := range b.Grants {
@@ -221,8 +222,9 @@
 // Draw raises a grant's Drawn to target, or as far as the budget's free tokens
 // allow, and never lowers it. The target is absolute and chosen before the write,
 // so a holder that retries the draw after a lost answer draws nothing twice.
-// mayCreate is true while the holder has not yet seen the grant in the ledger; a
-// grant that it has seen and that is gone must not be created again.
+// mayCreate is true as long as the holder has not seen the grant in the ledger. A
+// grant that it has seen and that is missing now was settled, and must not be
+// created again.
 // Errors: ErrUnknownBudget, ErrGrantClosed, ErrGrantMissing.
 func (s *Shard) Draw(budgetID, grantID, holder, witness string, target int64, mayCreate bool) (*Grant, error) {
 	b := s.Budgets[budgetID]
@@ -325,9 +327,9 @@
 	return nil
 }
 
-// Reclaim closes a grant on behalf of its witness and keeps only what is signed:
-// the unsigned rest, which the holder cannot allocate, is free at once. Errors:
-// ErrGrantMissing, ErrGrantClosed, ErrNotWitness.
+// Reclaim closes a grant on behalf of its witness. The grant holds only the signed
+// tokens from now on; the unsigned rest, which the holder cannot allocate, is free
+// at once. Errors: ErrGrantMissing, ErrGrantClosed, ErrNotWitness.
 func (s *Shard) Reclaim(budgetID, grantID, witness string, signed int64, usages map[string]Usage) error {
 	g, err := s.openGrant(budgetID, grantID)
 	if err != nil {
@@ -340,8 +342,8 @@
 	return nil
 }
 
-// Close closes a grant on behalf of its holder and keeps only what the holder has
-// allocated. Errors: ErrGrantMissing, ErrGrantClosed.
+// Close closes a grant on behalf of its holder. The grant holds only the tokens that
+// the holder has allocated from now on. Errors: ErrGrantMissing, ErrGrantClosed.
 func (s *Shard) Close(budgetID, grantID string, allocated int64, usages map[string]Usage) error {
 	if _, err := s.openGrant(budgetID, grantID); err != nil {
 		return err
@@ -357,9 +359,9 @@
 	s.mergeUsages(budgetID, grantID, usages)
 }
 
-// MergeUsages records what spenders report about a closed grant and settles the
-// grant once every token is accounted for. Errors: ErrGrantMissing, which for a
-// grant that was closed means that it is settled; ErrGrantOpen.
+// MergeUsages records the usages that spenders report about a closed grant, and
+// settles the grant once every token is accounted for. Errors: ErrGrantOpen;
+// ErrGrantMissing, which means that the grant is settled if it was closed before.
 func (s *Shard) MergeUsages(budgetID, grantID string, usages map[string]Usage) error {
 	b := s.Budgets[budgetID]
 	if b == nil || b.Grants[grantID] == nil {
