--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -46,7 +46,7 @@
 	properties.TestingRun(t)
 }
 
-// fixedFleet lists the other instances of a history; none of them ever goes.
+// fixedFleet lists the other instances of a history, which stay live throughout.
 type fixedFleet []string
 
 // Others implements Fleet.
@@ -60,7 +60,7 @@
 	store := storefake.New(seed)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	defer time.Sleep(2 * maxReportDelay) // operations in progress end
+	defer time.Sleep(2 * maxReportDelay) // lets operations in progress end
 	var claimers []*Claimer
 	names := fixedFleet{"a", "b", "c"}
 	for n, name := range names {
@@ -108,9 +108,9 @@
 	return ""
 }
 
-// The answers of a shard's claims are too large for the shard's value. Answers are
-// left out, the oldest first, and the fact that their requests ran is kept:
-// removing a claim would let its request run again.
+// Guards against claims that are removed because the recorded answers are too large
+// for the shard's value: removing a claim would let its request run again. The
+// oldest answers must be left out instead.
 func TestFullShardForgetsAnswersNotClaims(t *testing.T) {
 	s, err := decodeShard(nil)
 	if err != nil {
--- a/pkg/claim/claimer.go
+++ b/pkg/claim/claimer.go
@@ -27,9 +27,9 @@
 // ErrBusy means that an operation was refused because its shard's queue is full.
 var ErrBusy = errors.New("claim: too many operations are waiting for their shard")
 
-// Key returns the hash under which a client's idempotency key is stored: a
-// reader of the store does not learn the key, and equal keys of two client
-// accounts are kept apart.
+// Key returns the hash under which a client's idempotency key is stored. The hash
+// does not reveal the key to readers of the store, and equal keys of two client
+// accounts have different hashes.
 func Key(budget, idempotencyKey string) string {
 	sum := sha256.Sum256([]byte(budget + "\x00" + idempotencyKey))
 	return hex.EncodeToString(sum[:16])
@@ -48,8 +48,8 @@
 	store  store.Lister
 	fleet  Fleet
 	queues []*ring.Queue[operation]
-	// recentClaims holds the recent claims of each shard. An element is used only
-	// by the goroutine that runs its shard.
+	// recentClaims holds, by shard, the claims that were recent at this instance's
+	// last write of the shard. An element is used only by the shard's goroutine.
 	recentClaims []map[string]*Claim
 	now          func() time.Time
 
@@ -101,8 +101,8 @@
 	return group
 }
 
-// commit applies a group of operations to a shard by one write. In an unsettled
-// shard it restores this instance's recent claims first.
+// commit applies a group of operations to a shard by one write. If the shard is
+// unsettled, commit first restores this instance's recent claims in it.
 func (c *Claimer) commit(ctx context.Context, shard int, group []operation) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -156,10 +156,10 @@
 }
 
 // Acquire claims a key before its request is dispatched. It returns the claim that
-// the key has now, and whether that is the request's own. After an error it is not
-// known whether the key was claimed: the request must not be dispatched, and the
-// claim must be released. ErrUnsettled means that an earlier request under the key
-// may have run.
+// the key has now, and whether that claim is the request's own. After an error it
+// is not known whether the key was claimed: the caller must not dispatch the
+// request, and must call Release. ErrUnsettled means that an earlier request under
+// the key may have run.
 func (c *Claimer) Acquire(ctx context.Context, key string, claim Claim) (Claim, bool, error) {
 	for {
 		r, err := c.tryAcquire(ctx, key, claim)
@@ -196,8 +196,8 @@
 	unsettled bool
 }
 
-// replaceResult keeps only the newest result: an update that met a write conflict
-// applies its operations again.
+// replaceResult replaces the result in a channel, if any, by a newer one: after a
+// write conflict the update applies its operations again.
 func replaceResult(result chan acquireResult, r acquireResult) {
 	select {
 	case <-result:
--- a/pkg/claim/recovery.go
+++ b/pkg/claim/recovery.go
@@ -18,13 +18,14 @@
 
 // Timing of the restoring of claims.
 const (
-	// recentClaimLifetime is how long after its last write a claim is remembered, to be restored: the
-	// copy to which the store is rolled back is some seconds old.
+	// recentClaimLifetime is how long after its last write a claim can be restored. A copy to which
+	// the store is rolled back is only some seconds old, so it has the older claims.
 	recentClaimLifetime = time.Minute
 	// maxReportDelay bounds the random delay before an instance writes its claims to a shard, so
 	// that the writes do not all start at once.
 	maxReportDelay = 300 * time.Millisecond
-	// unsettledPollInterval is the interval at which a key is looked up in an unsettled shard.
+	// unsettledPollInterval is the interval at which Acquire looks up a key again that an unsettled
+	// shard lacks.
 	unsettledPollInterval = 100 * time.Millisecond
 )
 
@@ -34,15 +35,15 @@
 	Others() []string
 }
 
-// beginEra marks a shard that was read from an object of an older era as one of era: it becomes
-// unsettled, and no instance has reported its claims yet.
+// beginEra marks the shard as unsettled, with no instance having reported its claims, if era is a later
+// one than the first and the shard has not been marked in it yet.
 func (s *Shard) beginEra(era store.Era) {
 	if era > store.FirstEra && s.Era != uint64(era) {
 		s.Era, s.Unsettled, s.ReportedBy = uint64(era), true, nil
 	}
 }
 
-// restore adds the recent claims that the shard lacks, and the outcomes of those that it has without
+// restore adds the recent claims that the shard lacks, and the outcomes of claims that it has without
 // an outcome.
 func (s *Shard) restore(recent map[string]*Claim) {
 	for key, claim := range recent {
@@ -53,8 +54,8 @@
 	}
 }
 
-// markReported records that the instance self has restored its claims. Once all others have too, the
-// shard is settled and keys that it lacks can be claimed.
+// markReported records that the instance self has restored its claims. Once all other instances have
+// done so as well, the shard is settled and keys that it lacks can be claimed.
 func (s *Shard) markReported(self string, others []string) {
 	if s.ReportedBy == nil {
 		s.ReportedBy = map[string]bool{}
@@ -80,13 +81,13 @@
 	return claims
 }
 
-// NoteStoreRollback is called when the store was rolled back to an older copy: this instance writes its
-// recent claims to every shard.
+// NoteStoreRollback makes this instance write its recent claims to every shard. It is called after the
+// store was rolled back to an older copy.
 func (c *Claimer) NoteStoreRollback() {
 	for _, queue := range c.queues {
 		go func() {
 			time.Sleep(rand.N(maxReportDelay))
-			queue.TryPut(operation{apply: func(*Shard) {}, done: make(chan error, 1)}) // the operations in a full queue write the shard as well
+			queue.TryPut(operation{apply: func(*Shard) {}, done: make(chan error, 1)}) // if the queue is full, an operation in it writes the claims
 		}()
 	}
 }
--- a/pkg/claim/shard.go
+++ b/pkg/claim/shard.go
@@ -1,8 +1,8 @@
 // Package claim makes a non-idempotent request run at most once: its idempotency
 // key is claimed in the platform's store before the request is dispatched, and
-// the outcome is recorded in the claim. No instance takes over another's claim,
-// so a holder that is paused for any time stays the only one that may run the
-// request.
+// the outcome is recorded in the claim. No instance takes over another's claim, so
+// the holder stays the only instance that may run the request, however long the
+// holder is paused.
 package claim
 
 import (
@@ -36,8 +36,8 @@
 	Request string `json:"request"`
 	// Holder is the incarnation of the instance that runs it.
 	Holder string `json:"holder"`
-	// Fingerprint is that of the request's content; it differs if the key is
-	// reused for another request.
+	// Fingerprint identifies the request's content, so that reuse of the key for
+	// another request is detected.
 	Fingerprint string `json:"fingerprint"`
 	// Outcome is empty while the request runs.
 	Outcome outcome.Outcome `json:"outcome,omitempty"`
@@ -61,8 +61,9 @@
 type Shard struct {
 	Claims map[string]*Claim `json:"claims"`
 	// Era is the era of the store in which the shard was last marked unsettled.
-	// Unsettled is set while claims of the seconds before that era may be missing;
-	// ReportedBy then holds the incarnations that have restored their claims.
+	// Unsettled is set while claims that were written in the seconds before that
+	// era may be missing; ReportedBy then holds the incarnations that have
+	// restored their claims.
 	Era        uint64          `json:"era,omitempty"`
 	Unsettled  bool            `json:"unsettled,omitempty"`
 	ReportedBy map[string]bool `json:"told,omitempty"`
@@ -94,9 +95,9 @@
 
 func shardOf(key string, shards int) int { return int(xxhash.Sum64String(key) % uint64(shards)) }
 
-// acquire claims a key for a request, or returns the existing claim. If that is
-// the request's own, an earlier write of the same claim took effect although its
-// answer was lost: the claim is acquired.
+// acquire claims a key for a request, or returns the existing claim. An existing
+// claim of the same request counts as acquired: an earlier write of that claim took
+// effect although its answer was lost.
 func (s *Shard) acquire(key string, claim Claim) (existing *Claim, acquired bool) {
 	if present := s.Claims[key]; present != nil {
 		return present, present.Request == claim.Request
@@ -133,9 +134,9 @@
 	}
 }
 
-// encode encodes the shard and reports whether it fits into maxShardBytes. If it
-// would not fit, the bodies of the oldest recorded answers are left out, though
-// not the fact that their requests ran.
+// encode encodes the shard and reports whether it fits into maxShardBytes. To make
+// it fit, encode removes the bodies of the oldest recorded answers, but not the
+// claims, which record that the requests ran.
 func (s *Shard) encode() ([]byte, bool, error) {
 	value, err := json.Marshal(s)
 	if err != nil || len(value) <= maxShardBytes {
