--- a/pkg/placement/cold_test.go
+++ b/pkg/placement/cold_test.go
@@ -49,12 +49,12 @@
 	p, now := coldPool(t)
 	p.Update([]registry.Upstream{cold("cold"), warm("warm")}, true)
 	if got := placementsByUpstream(p, 200); got["cold"] > 7 || got["warm"] < 190 {
-		t.Errorf("got %v", got)
+		t.Errorf("placements by upstream: %v", got)
 	}
 	*now = now.Add(2 * time.Second)
 	p.Update([]registry.Upstream{cold("cold")}, true)
 	if got := placementsByUpstream(p, 200); got["cold"] == 0 || got["cold"] > 7 {
-		t.Errorf("with no other upstream: got %v", got)
+		t.Errorf("with no other upstream, placements by upstream: %v", got)
 	}
 }
 
@@ -66,11 +66,11 @@
 	p.Update([]registry.Upstream{warm("a")}, true)
 	p.Update([]registry.Upstream{warm("a"), warm("b")}, true)
 	if got := placementsByUpstream(p, 200); got["b"] > 7 {
-		t.Errorf("got %v", got)
+		t.Errorf("placements by upstream: %v", got)
 	}
 	*now = now.Add(coldDuration)
 	if got := placementsByUpstream(p, 200); got["b"] < 50 {
-		t.Errorf("after the cold period: got %v", got)
+		t.Errorf("after the cold period, placements by upstream: %v", got)
 	}
 }
 
@@ -83,7 +83,7 @@
 	lease.ReportUnreachable()
 	lease.Done(Failed)
 	if got := placementsByUpstream(p, 200); got["a"] > 7 {
-		t.Errorf("got %v", got)
+		t.Errorf("placements by upstream: %v", got)
 	}
 }
 
@@ -106,6 +106,6 @@
 	p, _ := coldPool(t)
 	p.Update([]registry.Upstream{warm("a")}, true)
 	if got := placementsByUpstream(p, 200); got["a"] != 200 {
-		t.Errorf("got %v", got)
+		t.Errorf("placements by upstream: %v", got)
 	}
 }
