--- a/pkg/quarantine/conclude.go
+++ b/pkg/quarantine/conclude.go
@@ -45,8 +45,8 @@
 	Crash *Record
 }
 
-// Conclude records how a run ended, and probes the upstream if it may have crashed. It ends the run: it is
-// called once, and NoteAnswer, NoteCrash and NoteEnd are not called besides.
+// Conclude records how a run ended, and probes the upstream if it may have crashed. It is called once, in
+// place of NoteAnswer, NoteCrash and NoteEnd.
 func (r Run) Conclude(ctx context.Context, attempt Attempt, probe ProbeFunc, now func() time.Time) Conclusion {
 	switch attempt.Evidence {
 	case WholeAnswer:
--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -164,9 +164,9 @@
 		f.mu.Lock()
 		f.crashTimes[body] = append(f.crashTimes[body], time.Now())
 		upstream := fmt.Sprint(body, len(f.crashTimes[body]))
-		blind := f.probesFail
+		undetected := f.probesFail
 		f.mu.Unlock()
-		if blind {
+		if undetected {
 			f.endUndetected(run, upstreamNamed(upstream))
 			continue
 		}
@@ -188,8 +188,8 @@
 	return maxRunTime
 }
 
-// endUndetected ends a run with a crash that only the upstream's next incarnation reveals. A random
-// instance observes that one.
+// endUndetected ends a run with a crash that no probe detects. Later a random instance observes that the
+// upstream's process is gone.
 func (f *fleet) endUndetected(run Run, upstream Upstream) {
 	attempt := Attempt{Origin: testOrigin, Upstream: upstream, Evidence: ConnectionEnded}
 	observer := f.nodeAt(f.randomInt(len(f.nodes)))
