--- a/pkg/member/changelogger.go
+++ b/pkg/member/changelogger.go
@@ -39,9 +39,9 @@
 
 // LogChanges compares the table with its state at the previous call and logs the differences. It
 // must not be called concurrently.
-func (n *ChangeLogger) LogChanges(table *Table, log *eventlog.Log) {
-	if n.lastLogged == nil {
-		n.lastLogged = map[string]loggedStatus{}
+func (l *ChangeLogger) LogChanges(table *Table, log *eventlog.Log) {
+	if l.lastLogged == nil {
+		l.lastLogged = map[string]loggedStatus{}
 	}
 	var joined, silent, left memberChanges
 	present := map[string]loggedStatus{}
@@ -50,7 +50,7 @@
 		if m.Incarnation == own {
 			continue
 		}
-		before, known := n.lastLogged[m.Incarnation]
+		before, known := l.lastLogged[m.Incarnation]
 		now := loggedStatus{silent: m.Silent, left: m.Leaving}
 		if !known {
 			joined.add(m)
@@ -63,7 +63,7 @@
 		}
 		present[m.Incarnation] = now
 	}
-	n.lastLogged = present
+	l.lastLogged = present
 	joined.logEvent(log, eventlog.MemberJoined)
 	silent.logEvent(log, eventlog.MemberSilent)
 	left.logEvent(log, eventlog.MemberLeft)
