--- a/pkg/placement/pool.go
+++ b/pkg/placement/pool.go
@@ -65,21 +65,21 @@
 
 // sessionID returns the id of the part by which requests of one conversation are sent to
 // the same engine: the last part that other requests share. It is 0 without parts.
-func (w *Request) sessionID() uint64 {
-	switch n := len(w.Parts); n {
+func (r *Request) sessionID() uint64 {
+	switch n := len(r.Parts); n {
 	case 0:
 		return 0
 	case 1:
-		return w.Parts[0].ID
+		return r.Parts[0].ID
 	default:
-		return w.Parts[n-2].ID
+		return r.Parts[n-2].ID
 	}
 }
 
-func (w *Request) sharedTokens() int64 {
+func (r *Request) sharedTokens() int64 {
 	var shared int64
-	for i := 0; i < len(w.Parts)-1; i++ {
-		shared += w.Parts[i].Tokens
+	for i := 0; i < len(r.Parts)-1; i++ {
+		shared += r.Parts[i].Tokens
 	}
 	return shared
 }
@@ -213,8 +213,8 @@
 	return c
 }
 
-// outsideGroup reports whether the engine is not in the request's group: the engines dedicated
-// to long prompts for a long prompt, the others for any other.
+// outsideGroup reports whether the engine is not in the request's group. The group of a long
+// prompt is the engines dedicated to long prompts, that of any other prompt the other engines.
 func (c *choice) outsideGroup(s *upstreamState) bool {
 	return c.numDedicated > 0 && (s.dedicationRank < c.numDedicated) != c.long
 }
@@ -329,8 +329,8 @@
 			s.evictStaleParts(now)
 		}
 	}
-	admitted := p.countColdRequest(s, now)
-	return &Lease{Upstream: s.Upstream, pool: p, state: s, pendingTokens: pendingTokens, sentAt: now, countedAsCold: admitted}
+	counted := p.countColdRequest(s, now)
+	return &Lease{Upstream: s.Upstream, pool: p, state: s, pendingTokens: pendingTokens, sentAt: now, countedAsCold: counted}
 }
 
 // maxCachedParts is the number of parts recorded for one engine above which stale ones are
--- a/pkg/placement/pool_test.go
+++ b/pkg/placement/pool_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// All upstreams have just failed. A request must still be sent to one of them, since a
-// refusal serves nobody.
+// Guards against refused requests when all upstreams have just failed: a request must
+// still be sent to one of them, since one that may have recovered is better than none.
 func TestAllAvoidedStillServes(t *testing.T) {
 	p, _ := newTestPool(false, engines(2, "a"))
 	for range 6 {
