--- a/pkg/dispatch/emptied_test.go
+++ b/pkg/dispatch/emptied_test.go
@@ -16,7 +16,7 @@
 	req := Request{Pool: "jobs", StartBy: time.Now().Add(time.Minute)}
 	lease, err := p.Acquire(t.Context(), req)
 	if err != nil || !lease.InService() {
-		t.Fatalf("in service %t, %v", lease.InService(), err)
+		t.Fatalf("the lease is in service: %t, error: %v", lease.InService(), err)
 	}
 	refused := make(chan error, 1)
 	go func() {
--- a/pkg/dispatch/queue.go
+++ b/pkg/dispatch/queue.go
@@ -9,7 +9,7 @@
 // maxWaiting bounds the requests that wait for one pool at one instance.
 const maxWaiting = 512
 
-// minRetryAfter is the shortest time after which a refused client is told to retry.
+// minRetryAfter is the minimum of OverloadError.RetryAfter.
 const minRetryAfter = time.Second
 
 // OverloadError means that a request was refused because it cannot start before its
