--- a/pkg/budget/node.go
+++ b/pkg/budget/node.go
@@ -98,20 +98,20 @@
 	if n.spender.TryReserve(budget, tokens, into) {
 		return nil
 	}
-	p := n.spender.lockSearch(budget)
-	defer p.searchMu.Unlock()
+	b := n.spender.lockSearch(budget)
+	defer b.searchMu.Unlock()
 	if n.spender.TryReserve(budget, tokens, into) {
 		return nil
 	}
-	if p.lastDenial != nil && tokens >= p.lastDenial.Need && n.now().Sub(p.deniedAt) < denialLifetime {
-		denial := *p.lastDenial
+	if b.lastDenial != nil && tokens >= b.lastDenial.Need && n.now().Sub(b.deniedAt) < denialLifetime {
+		denial := *b.lastDenial
 		denial.Need = tokens
 		return &denial
 	}
-	p.lastDenial = n.searchHolders(ctx, budget, tokens, into)
-	if p.lastDenial != nil {
-		p.deniedAt = n.now()
-		return p.lastDenial
+	b.lastDenial = n.searchHolders(ctx, budget, tokens, into)
+	if b.lastDenial != nil {
+		b.deniedAt = n.now()
+		return b.lastDenial
 	}
 	return nil
 }
--- a/pkg/budget/spender.go
+++ b/pkg/budget/spender.go
@@ -63,14 +63,14 @@
 	r.settled = true
 	remaining := used
 	for i := 0; i < r.numParts; i++ {
-		p := &r.parts[i]
-		share := min(remaining, p.tokens)
-		p.lot.reserved -= p.tokens
-		p.lot.used += share
+		part := &r.parts[i]
+		share := min(remaining, part.tokens)
+		part.lot.reserved -= part.tokens
+		part.lot.used += share
 		remaining -= share
 	}
-	if balance := s.balances[r.budget]; balance != nil {
-		s.active[r.budget] = balance
+	if b := s.balances[r.budget]; b != nil {
+		s.active[r.budget] = b
 	}
 	return used - remaining
 }
@@ -163,15 +163,15 @@
 	defer s.mu.Unlock()
 	out := reports{}
 	for _, budget := range sortedKeys(s.active) {
-		p := s.active[budget]
-		p.smoothDemand(interval)
-		keep := int64(p.demandRate * ahead.Seconds())
-		if s.stopping || p.idleTicks >= idleTicksBeforeReturn {
+		b := s.active[budget]
+		b.smoothDemand(interval)
+		keep := int64(b.demandRate * ahead.Seconds())
+		if s.stopping || b.idleTicks >= idleTicksBeforeReturn {
 			keep = 0
 		}
-		p.returnSurplus(keep + keep/2)
-		s.appendUnreported(budget, p, out)
-		if p.inactive() {
+		b.returnSurplus(keep + keep/2)
+		s.appendUnreported(budget, b, out)
+		if b.inactive() {
 			delete(s.active, budget)
 		}
 	}
