--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -50,7 +50,7 @@
 type fixedFleet []string
 
 // Others implements Fleet.
-func (o fixedFleet) Others() []string { return o }
+func (f fixedFleet) Others() []string { return f }
 
 // numRequests is the number of requests in one history.
 const numRequests = 60
