--- a/pkg/quarantine/hash.go
+++ b/pkg/quarantine/hash.go
@@ -8,8 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash returns a hash that is equal for tables with the same watched records; it is 0 if no request is
-// watched. Clear records are left out, since an instance may have evicted them.
+// Hash returns a hash that is equal for tables which watch the same requests with the same crashes,
+// verdicts and undecided endings; it is 0 if no request is watched. Clear records are left out, since an
+// instance may have evicted them.
 func (t *Table) Hash() uint64 {
 	if !t.Watching() {
 		return 0
--- a/pkg/quarantine/spread.go
+++ b/pkg/quarantine/spread.go
@@ -125,9 +125,9 @@
 // NoteStored records that the table contains the records in the store.
 func (s *Spreader) NoteStored() { s.stored.Store(true) }
 
-// ReceiveHash handles a hash received from the instance at an address: that of its table. The flag
-// stored reports whether that table contains the records in the store. If the tables differ,
-// ReceiveHash schedules an exchange.
+// ReceiveHash handles what a heartbeat of the instance at an address reports of that instance's table: its
+// hash, and whether it contains the records in the store. If the tables differ, ReceiveHash schedules an
+// exchange.
 func (s *Spreader) ReceiveHash(address string, hash uint64, stored bool) {
 	s.table.Expire(s.now())
 	if hash == s.table.Hash() {
