--- a/pkg/registry/emptied.go
+++ b/pkg/registry/emptied.go
@@ -9,7 +9,7 @@
 )
 
 // lostEmptiedLifetime is how long a domain still counts as emptied after the store was rolled back to
-// a copy that does not list it. Within seconds operators empty the domain again.
+// a copy that does not list it. Operators write the list again within seconds.
 const lostEmptiedLifetime = 10 * time.Second
 
 // emptiedDomains holds the failure domains whose upstreams get no requests.
