--- a/pkg/dispatch/queue.go
+++ b/pkg/dispatch/queue.go
@@ -9,10 +9,11 @@
 // maxWaiting bounds the requests that wait for one pool at one instance.
 const maxWaiting = 512
 
-// minRetryAfter is the shortest time after which a refused client is told to retry.
+// minRetryAfter is the minimum of OverloadError.RetryAfter.
 const minRetryAfter = time.Second
 
-// OverloadError is the refusal of a request that cannot start before its deadline.
+// OverloadError means that a request was refused because it cannot start before its
+// deadline.
 type OverloadError struct {
 	// Step is "queue", Peer the name of the pool.
 	Step, Peer string
