--- a/pkg/prepaid/balance.go
+++ b/pkg/prepaid/balance.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// How demand is measured.
+// Parameters of the measurement of demand.
 const (
 	// demandWindow is the time over which demand is averaged. Requests of one account reach one
 	// instance every few seconds and cost up to ten thousand tokens, so with a shorter window
@@ -33,8 +33,8 @@
 	// returnedInLedger is the part of counter.Returned that the ledger has recorded.
 	returnedInLedger int64
 
-	// demand is what was reserved and not settled as unused since the last tick; perSecond is its
-	// average.
+	// demand is the number of tokens reserved since the last tick, minus those settled as unused;
+	// perSecond is its average per second.
 	demand    int64
 	perSecond float64
 	// measuredFor is how long demand has been measured.
@@ -43,13 +43,13 @@
 	typicalSize float64
 	largest     int64
 
-	// waiting is the sum of what requests that wait for the next write need.
+	// waiting is the number of tokens needed by the requests that wait for a write.
 	waiting int64
 
-	// scarce says that the ledger, when it was last seen, had less than one large request for each
-	// instance that draws; depleted says that it had less than one. Both stand until the ledger is
-	// seen again or the account is topped up. If they expired, each instance would draw the last
-	// tokens and return them again and again.
+	// scarce says that the ledger, when it was last seen, had too few tokens for one request of size
+	// largest at each instance that draws; depleted says that it had too few for a single one. Both
+	// hold until the ledger is seen again or the account is topped up. If they expired, each instance
+	// would draw the last tokens and return them again and again.
 	scarce, depleted bool
 	// prepaid is the prepaid amount when the ledger was last seen.
 	prepaid int64
@@ -66,7 +66,8 @@
 	// the other drawers and those they draw for had free.
 	heldByRequesters, heldElsewhere int64
 	numActive                       int
-	// owed is what requesters should have been dealt since the last write and were not.
+	// owed is the number of tokens by which this drawer's grants since its last write fell short of
+	// the requesters' keep targets.
 	owed int64
 	// lendersAvoidedUntil is the time until which peers are not asked for this budget.
 	lendersAvoidedUntil time.Time
@@ -112,8 +113,8 @@
 	b.largest -= b.largest / 32
 }
 
-// target returns how many free tokens the instance wants to hold: its demand for a time, but at
-// least one typical request once there has been demand.
+// target returns how many free tokens the instance wants to hold: its demand during the period
+// ahead, but at least one typical request once there has been demand.
 func (b *balance) target(ahead time.Duration) int64 {
 	if b.perSecond < 1 || b.depleted {
 		return 0
@@ -121,7 +122,7 @@
 	return int64(max(b.perSecond*ahead.Seconds(), b.typicalSize))
 }
 
-// holdTime returns for how much time of demand tokens of the budget are held.
+// holdTime returns the period of demand for which tokens of the budget are held, at most maxHold.
 func (b *balance) holdTime(maxHold time.Duration) time.Duration {
 	demand := b.servedPerSecond + b.elsewherePerSecond
 	if demand < 1 {
@@ -136,7 +137,8 @@
 	return float64(max(b.ledgerFree, 0) + b.heldElsewhere + b.heldByRequesters + b.free)
 }
 
-// recordLedger records the ledger's view of the budget: what is prepaid and what may be drawn.
+// recordLedger records the ledger's view of the budget: the prepaid amount, and left, the tokens
+// that may be drawn. instances is the number of instances that draw.
 func (b *balance) recordLedger(prepaid, left int64, instances int, now time.Time) {
 	instances = max(instances, 1)
 	b.ledgerFree, b.ledgerSeenAt = left, now
@@ -145,7 +147,8 @@
 	b.depleted = left < b.largest
 }
 
-// noteTopUp clears what is known of a shortage if more is prepaid now.
+// noteTopUp clears a recorded shortage if the prepaid amount is higher than when the ledger was last
+// seen.
 func (b *balance) noteTopUp(prepaid int64) {
 	if prepaid > b.prepaid {
 		b.scarce, b.depleted, b.ledgerSeenAt = false, false, time.Time{}
--- a/pkg/prepaid/drawer.go
+++ b/pkg/prepaid/drawer.go
@@ -17,7 +17,7 @@
 //
 // An instance that asks the drawer for tokens is called a requester.
 
-// How a drawer distributes tokens.
+// Parameters of how a drawer distributes tokens among its requesters.
 const (
 	// requesterTimeout is how long a requester counts towards the demand after its last report: six
 	// report intervals.
@@ -30,21 +30,22 @@
 	// drawer fails.
 	poolAhead   = time.Second
 	poolDivisor = 4
-	// maxOwedDrawTime is how much of the requesters' demand one write draws to make up for what
-	// they lack. After a partition they all lack tokens at once. Drawn in one write, these stayed
-	// at the drawer until the next reports, and when the drawer then lost power, a quarter of what
-	// some accounts had prepaid was lost.
+	// maxOwedDrawTime limits the tokens that one write draws for requesters below their keep targets
+	// to the requesters' demand during this time. After a partition all of them are below at once.
+	// When one write drew everything that they lacked, the tokens stayed at the drawer until the
+	// next reports, and when the drawer then lost power, a quarter of what some accounts had prepaid
+	// was lost.
 	maxOwedDrawTime = 2 * time.Second
 	// poolReserveDivisor: one report leaves at least 1/poolReserveDivisor of the pool for others.
 	poolReserveDivisor = 4
-	// minAhead is the time of demand below which no tokens are dealt out ahead of requests. With so
-	// little left, each request asks the drawer and no token lies idle.
+	// minAhead is the period of demand below which a drawer grants no tokens ahead of requests. With
+	// so little left, each request asks the drawer and no token is held idle.
 	minAhead = time.Second
 	// widespreadDivisor: if at least 1/widespreadDivisor of the instances have demand for a budget,
-	// the others are dealt tokens before their first request, for 1/widespreadDivisor of the mean
+	// the others are granted tokens before their first request, for 1/widespreadDivisor of the mean
 	// demand.
 	widespreadDivisor = 2
-	// maxUnsolicited bounds the budgets that one reply deals out without a demand for them.
+	// maxUnsolicited bounds the budgets of which one reply grants tokens without a reported demand.
 	maxUnsolicited = 64
 )
 
@@ -62,7 +63,7 @@
 	returned  int64
 }
 
-// Refill receives a requester's report of its demand and deals out tokens to it.
+// Refill receives a requester's report of its demand and grants it tokens.
 func (n *Node) Refill(ctx context.Context, req *prepaidpb.RefillRequest) *prepaidpb.RefillReply {
 	if req.Drawer != n.Self {
 		// The process that the requester addressed has been replaced by this one. Totals are kept
@@ -118,14 +119,14 @@
 	shard int, req *prepaidpb.RefillRequest, waiting *prepaidpb.Demand, err error,
 ) *prepaidpb.RefillReply {
 	if errors.Is(err, ErrBusy) {
-		return &prepaidpb.RefillReply{Busy: true} // asking or writing elsewhere would not help
+		return &prepaidpb.RefillReply{Busy: true} // another drawer, or a write of the requester's own, would meet the same conflicts
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if lenders := n.selectLenders(shard, req.Asker, waiting); len(lenders) > 0 {
 		return &prepaidpb.RefillReply{Lenders: lenders}
 	}
-	return &prepaidpb.RefillReply{Declined: true, Drawer: n.shards[shard].drawer} // this drawer may reach the ledger
+	return &prepaidpb.RefillReply{Declined: true, Drawer: n.shards[shard].drawer} // the drawer named here may reach the ledger
 }
 
 // waitingDemand returns the demand that a request waits for; a report has at most one.
@@ -180,8 +181,8 @@
 func (n *Node) receiveDemand(r *requester, d *prepaidpb.Demand) {
 	b := r.budgets[d.Budget]
 	if b == nil {
-		// The drawer may have counted totals from before it knew this requester. They are written
-		// off, which may lose tokens but never creates any.
+		// This drawer may have counted the requester's total already and removed its state since.
+		// The total so far is therefore written off, which may lose tokens but never creates any.
 		b = &requesterBudget{returned: d.Returned}
 		r.budgets[d.Budget] = b
 	}
@@ -194,7 +195,8 @@
 	balance.largest = max(balance.largest, d.Need+d.Free)
 }
 
-// supply deals out tokens of one budget to a requester; n.mu is held.
+// supply grants a requester tokens of one budget ahead of its requests, and returns its new totals
+// and keep target; n.mu is held.
 func (n *Node) supply(r *requester, d *prepaidpb.Demand, shard int) *prepaidpb.Supply {
 	b := r.budgets[d.Budget]
 	balance := n.balance(d.Budget)
@@ -226,8 +228,8 @@
 	return keep
 }
 
-// expectedDemand returns the demand, in tokens a second, for which an instance that has shown none
-// yet is dealt tokens: part of the mean if most instances served have demand for the budget.
+// expectedDemand returns the demand, in tokens per second, for which an instance without a demand of
+// its own is granted tokens: part of the mean if most instances served have demand for the budget.
 func (n *Node) expectedDemand(b *balance, shard int) float64 {
 	if instances := n.shards[shard].numServed; b.numActive*widespreadDivisor >= instances && instances > 0 {
 		return b.servedPerSecond / float64(instances) / widespreadDivisor
@@ -235,9 +237,9 @@
 	return 0
 }
 
-// holdTime returns for how much time of demand tokens may be held at instances. Each instance's
-// share is proportional to its demand: equal shares left the few instances that serve a busy
-// account short in every partition.
+// holdTime returns the period of demand for which instances may hold tokens of a budget. Each
+// instance's share is thus proportional to its demand: equal shares left the few instances that
+// serve a busy account short in every partition.
 func (n *Node) holdTime(b *balance) time.Duration {
 	if b.depleted {
 		return 0
@@ -245,8 +247,8 @@
 	return b.holdTime(n.ahead)
 }
 
-// supplyUnsolicited deals out budgets for which most instances served have demand and which the
-// requester has not reported yet; n.mu is held.
+// supplyUnsolicited grants tokens of budgets for which most instances served have demand and which
+// the requester has not reported yet; n.mu is held.
 func (n *Node) supplyUnsolicited(r *requester, shard int, reply *prepaidpb.RefillReply) {
 	maxSupplies := len(reply.Supplies) + maxUnsolicited
 	for id, b := range n.balances {
--- a/pkg/prepaid/drawer_test.go
+++ b/pkg/prepaid/drawer_test.go
@@ -37,15 +37,15 @@
 		_, refused := f.runLoad(t, 40)
 		s, err := prepaid.DecodeShard(f.shards[f.era].value)
 		if err != nil || refused > 0 || len(s.Writers) > 1 {
-			t.Errorf("%d refused, %d instances wrote, %v", refused, len(s.Writers), err)
+			t.Errorf("%d requests were refused, %d instances wrote to the ledger; decode: %v", refused, len(s.Writers), err)
 		}
 		f.nodes[0].crashed = true
 		if _, refused := f.runLoad(t, 40); refused > 0 {
-			t.Errorf("%d refused after the drawer's crash", refused)
+			t.Errorf("%d requests were refused after the drawer's crash", refused)
 		}
 		s, err = prepaid.DecodeShard(f.shards[f.era].value)
 		if err != nil || len(s.Writers) > 2 {
-			t.Errorf("%d instances wrote, %v", len(s.Writers), err)
+			t.Errorf("%d instances wrote to the ledger; decode: %v", len(s.Writers), err)
 		}
 	})
 }
@@ -74,7 +74,7 @@
 			m.partitioned = true
 		}
 		if refused := load(14); refused > 0 {
-			t.Errorf("%d of %d were refused while partitioned", refused, 14*12)
+			t.Errorf("%d of %d requests were refused while partitioned", refused, 14*12)
 		}
 	})
 }
@@ -94,14 +94,14 @@
 		}
 		f.drawers = []string{"i0"}
 		if _, refused := f.runLoad(t, steps); refused > 0 {
-			t.Errorf("%d were refused before the partition", refused)
+			t.Errorf("%d requests were refused before the partition", refused)
 		}
 		for _, m := range f.nodes {
 			m.partitioned = true
 		}
 		served, refused := f.runLoad(t, partitionSteps)
 		if refused > served/20 {
-			t.Errorf("%d were served and %d refused while partitioned", served, refused)
+			t.Errorf("%d requests were served and %d refused while partitioned", served, refused)
 		}
 	})
 }
@@ -121,7 +121,7 @@
 		}
 		s, err := prepaid.DecodeShard(f.shards[f.era].value)
 		if err != nil || len(s.Writers) > 1 {
-			t.Errorf("%d instances wrote, %v", len(s.Writers), err)
+			t.Errorf("%d instances wrote to the ledger; decode: %v", len(s.Writers), err)
 		}
 	})
 }
@@ -150,13 +150,13 @@
 		_, refused := f.runLoad(t, 6)
 		s, err := prepaid.DecodeShard(f.shards[f.era].value)
 		if err != nil || refused > 0 || len(s.Writers) > len(f.drawers) {
-			t.Errorf("%d refused, %d instances wrote, %v", refused, len(s.Writers), err)
+			t.Errorf("%d requests were refused, %d instances wrote to the ledger; decode: %v", refused, len(s.Writers), err)
 		}
 	})
 }
 
-// Reports and answers of the drawer are lost. The next ones repeat what they carried: nearly all
-// prepaid tokens are served in the end.
+// Reports to the drawer and its answers are lost. Guards against tokens that are lost with them: the
+// next report or answer carries the same totals, so nearly all prepaid tokens are served in the end.
 func TestLostAnswersOfADrawerLoseNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all = 600_000
@@ -173,9 +173,9 @@
 	})
 }
 
-// Guards against overspending after a drawer was replaced at its address. An instance that does not
-// know that addresses it by its old incarnation and must be declined: it would count tokens dealt
-// out under the old incarnation once more under the new one.
+// Guards against overspending after a drawer was replaced at its address. A requester that does not
+// know of the replacement addresses the old incarnation and must be declined: it would count the
+// tokens granted under the old incarnation once more under the new one.
 func TestReplacedDrawerDeclines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(11, 2, map[string]int64{account: 100_000})
@@ -183,7 +183,7 @@
 			Asker: "i1", Drawer: "i0-before", Demands: []*prepaidpb.Demand{{Budget: account, Need: 500}},
 		}
 		if reply := f.nodes[0].Node.Refill(t.Context(), req); !reply.Declined || len(reply.Supplies) > 0 {
-			t.Errorf("the replaced drawer's successor dealt out tokens: %v", reply)
+			t.Errorf("the replaced drawer's successor granted tokens: %v", reply)
 		}
 		req.Drawer = "i0"
 		if reply := f.nodes[0].Node.Refill(t.Context(), req); reply.Declined || reply.Supplies[0].Granted < 500 {
@@ -193,8 +193,8 @@
 }
 
 // All instances of a large fleet restart under load while the store does not answer, so that they
-// do not know each other. Their clients are refused. The store must see few attempts, or it would
-// be too busy afterwards to tell the instances of each other.
+// do not know each other. Their clients are refused. The store must receive few write attempts, or
+// it would be too busy afterwards for the instances to discover each other through it.
 func TestFleetThatStartsUnderLoadLeavesTheStoreAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const instances, steps = 40, 12
@@ -208,14 +208,14 @@
 		f.drawers = []string{"i0", "i1"}
 		f.runLoad(t, 10)
 		if _, refused := f.runLoad(t, 4); refused > 0 {
-			t.Errorf("%d refused after the store was available again", refused)
+			t.Errorf("%d requests were refused after the store was available again", refused)
 		}
 	})
 }
 
-// A drawer receives a total of returned tokens from before it knew the requester, or after the
-// requester's state expired. The total may have been counted already, so it is written off: clients
-// may spend less than was prepaid, never more.
+// A drawer without state for a requester, because it never had any or removed it, receives the
+// requester's total of returned tokens. Guards against overspending: the drawer may have counted the
+// total before, so it is written off. Clients may then spend less than was prepaid, never more.
 func TestForgottenTotalsAreGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(15, 1, map[string]int64{account: 100_000})
@@ -228,9 +228,9 @@
 	})
 }
 
-// Three instances that have their tokens from a drawer stop as planned. They have never written to
-// the ledger themselves. Guards against the loss of the tokens that they return there: the others'
-// clients use the account up.
+// Three instances that have their tokens from a drawer stop as planned and return them to the
+// ledger, to which they have never written before. Guards against the loss of these tokens: clients
+// of the other instances can use the account up.
 func TestStoppingAskersLoseNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all = 3_000_000
@@ -266,9 +266,9 @@
 	return reserved
 }
 
-// A drawer stops while an instance that it draws for has much reserved, hardly any of which is then
-// used. Guards against the loss of tokens in declined reports: they stay at the instance to be
-// spent or returned to the next drawer.
+// A drawer stops while one of its requesters has many tokens reserved, none of which is then used.
+// Guards against the loss of the tokens in the reports that the drawer declines: they stay at the
+// requester, to be spent or returned to the next drawer.
 func TestDeclinedReportsLoseNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all, open = 400_000, 40
@@ -292,9 +292,9 @@
 	})
 }
 
-// A drawer counts what an instance returns, its answer is lost, and then it stops: it returns those
-// tokens to the ledger and declines the instance's next report. Guards against overspending: the
-// tokens must not become free at the instance as well.
+// A drawer counts the tokens that a requester returns, its reply is lost, and then the drawer stops:
+// it returns those tokens to the ledger and declines the requester's next report. Guards against
+// overspending: the tokens must not become free at the requester as well.
 func TestDoubtfulReturnIsNotFreeAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all, open = 400_000, 40
@@ -325,7 +325,7 @@
 }
 
 // Guards against a request that is refused in a store outage though one of many instances holds
-// enough tokens. The drawer knows which one does; three randomly chosen peers mostly do not.
+// enough tokens. The drawer knows which one does; three randomly chosen peers mostly hold too few.
 func TestDrawerNamesWhoHoldsTokensInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(9, 40, map[string]int64{account: 2_000_000})
@@ -349,7 +349,7 @@
 			f.tick()
 		}
 		if served < 3 {
-			t.Errorf("%d of 4 were served, %d tokens are free at another instance", served, holder.Free(account))
+			t.Errorf("%d of 4 requests were served, %d tokens are free at another instance", served, holder.Free(account))
 		}
 	})
 }
@@ -370,7 +370,7 @@
 			maxFree = max(maxFree, m.Free(account))
 		}
 		if !spend(t, f.nodes[23], maxFree+maxFree/2) {
-			t.Errorf("refused; one instance holds at most %d", maxFree)
+			t.Errorf("the request was refused; one instance holds at most %d tokens", maxFree)
 		}
 	})
 }
--- a/pkg/prepaid/fake_test.go
+++ b/pkg/prepaid/fake_test.go
@@ -13,7 +13,7 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// ackDelay is the delay of an acknowledgement that is held up.
+// ackDelay is the delay of a late acknowledgement.
 const ackDelay = 150 * time.Millisecond
 
 // errLost means that a message or its answer was lost.
@@ -36,7 +36,7 @@
 	nodes      []*member
 	// amounts is the configuration in force.
 	amounts prepaid.Amounts
-	// ahead is for how much time of its demand a joining instance holds tokens.
+	// ahead is the period of its demand for which a joining instance holds tokens.
 	ahead time.Duration
 	// drawers are the candidates that draw for all, the preferred one first; without any, each
 	// instance draws for itself.
@@ -52,7 +52,7 @@
 	loseAckChance float64
 	// ackDelayChance is the chance that a write's acknowledgement is late, perhaps in a later era.
 	ackDelayChance float64
-	// loseAnswers makes all answers of drawers get lost.
+	// loseAnswers says that all answers of drawers are lost.
 	loseAnswers bool
 	// witnessedBy holds, by writer and budget, how much of the draws each witness has seen.
 	witnessedBy map[string]map[string]map[string]int64
@@ -403,7 +403,7 @@
 	}
 	reply := peer.Node.Refill(ctx, req)
 	if m.fleet.losesAnswer() || m.fleet.losesMessage() {
-		return nil, errLost // the tokens were dealt out and the answer was lost
+		return nil, errLost // the tokens were granted and the answer was lost
 	}
 	return reply, nil
 }
--- a/pkg/prepaid/fleet_start_test.go
+++ b/pkg/prepaid/fleet_start_test.go
@@ -14,7 +14,7 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// Parameters of fleets whose instances start at once.
+// Parameters of fleets whose instances start at the same time.
 const (
 	// storeLatency is the duration of a store call, peerRoundTrip that of a message and its answer.
 	storeLatency  = 4 * time.Millisecond
@@ -22,9 +22,10 @@
 	// requestInterval is the interval of each instance's requests, requestTokens their size.
 	requestInterval = 200 * time.Millisecond
 	requestTokens   = 300
-	// maxCollisionTime is how long conflicts may go on after their last trigger.
+	// maxCollisionTime is how long conflicts may go on after the last crash.
 	maxCollisionTime = 2 * time.Second
-	// candidates is the number of instances that may draw for all, and for each domain.
+	// candidates is the number of instances that may draw for all, and the number of further ones in
+	// each domain.
 	candidates = 2
 	domains    = 5
 	// crashDetectionTime is how long it takes until all instances know of a crash.
@@ -42,7 +43,7 @@
 	version uint64
 	amounts prepaid.Amounts
 	members []*startingInstance
-	// assumesComplete says that instances take those that they know for the whole fleet.
+	// assumesComplete makes instances assume that those they know are the whole fleet.
 	assumesComplete bool
 	// writes and conflicts are counted by second since startedAt.
 	startedAt         time.Time
@@ -307,8 +308,8 @@
 	}
 }
 
-// run has all instances serve for length, crashes as many as crashes says after crashAt, and returns
-// when all calls have ended.
+// run has all instances serve for length. After crashAt the first instances crash, as many as
+// crashes says. It returns when all calls have ended.
 func (f *startingFleet) run(length time.Duration, crashes int, crashAt time.Duration) {
 	var running sync.WaitGroup
 	until := f.startedAt.Add(length)
@@ -361,7 +362,7 @@
 						sum(f.writes, 0, length), sum(f.conflicts, 0, length), ended,
 						sum(f.writes, ended, length), late, served, refused)
 					if late > length-ended || refused > served/100 {
-						t.Errorf("from second %d on %d conflicts; %d served, %d refused", ended, late, served, refused)
+						t.Errorf("from second %d on %d conflicts; %d requests served, %d refused", ended, late, served, refused)
 					}
 					if all := sum(f.writes, 0, ended); all > 4*size {
 						t.Errorf("%d writes in the first %d seconds", all, ended)
@@ -372,11 +373,11 @@
 	}
 }
 
-// For some seconds each of many instances takes the few that it knows for the whole fleet, so that
-// most believe that they or another instance that they know should draw. Nothing shows that this is
-// wrong, and by rank alone each of these drawers would go on writing, with conflicts, until the
-// last one has learned of the first. The object is the same for all: an instance that finds another
-// drawer named there asks that one.
+// For some seconds each of many instances assumes that the few it knows are the whole fleet, so most
+// of them choose themselves or another instance that they know as the drawer. By rank alone, each of
+// these drawers would go on writing, with conflicts, until the last one has learned of the first.
+// The ledger object is the same for all: an instance that finds another drawer named there asks that
+// one.
 func TestDrawersThatDoNotKnowEachOtherGiveWay(t *testing.T) {
 	const length, settled = 8, 2
 	for _, size := range []int{7, 73, 295} {
--- a/pkg/prepaid/loan.go
+++ b/pkg/prepaid/loan.go
@@ -78,8 +78,9 @@
 	return nil
 }
 
-// Lend hands tokens over to another instance: need if the free tokens or the ledger can cover it,
-// and up to half of the remaining free tokens. If need is 0, it hands over free tokens up to ahead.
+// Lend hands tokens over to another instance and returns how many: need, if the free tokens or the
+// ledger can cover it, plus up to ahead from half of the remaining free tokens. If need is 0, it
+// hands over free tokens only, up to ahead.
 func (n *Node) Lend(ctx context.Context, budget string, need, ahead int64) int64 {
 	switch {
 	case n.isStopping() || need < 0 || ahead < 0:
@@ -95,7 +96,7 @@
 	b := n.balance(budget)
 	more := max(min(ahead, b.free/2), 0)
 	b.free -= more
-	b.demand += need + more // so that this instance holds enough for its borrowers, too
+	b.demand += need + more // makes this instance hold enough for its borrowers, too
 	b.largest = max(b.largest, need)
 	return need + more
 }
--- a/pkg/prepaid/merge.go
+++ b/pkg/prepaid/merge.go
@@ -3,9 +3,9 @@
 // The store may be rolled back to a copy of itself that is some seconds old. The draws of these
 // seconds are missing in the copy, and their tokens look free while clients are spending them.
 // Instances that have seen these draws restore them: each writer knows its own counters, each
-// writer sees all rows of the object, and a drawer sends its own count with the tokens that it
-// deals out. Counters only grow, so the correct value of each is the highest that any instance has
-// seen, no matter who reports it or how often.
+// writer sees all rows of the object, and a drawer sends its own drawn total with the tokens that it
+// grants. Counters only grow, so the correct value of each is the highest that any instance has
+// seen, no matter which instance reports it or how often.
 //
 // The ledger object of a new era is *unsettled* until all live instances have reported what they
 // have seen. Nothing is drawn from it until then.
--- a/pkg/prepaid/named.go
+++ b/pkg/prepaid/named.go
@@ -16,13 +16,14 @@
 
 // minNamedFleet is the smallest fleet in which drawers are named. In a smaller one nearly all
 // instances are candidates, but conflicts are few, and after an outage each draws for itself at
-// once instead of waiting some seconds until a drawer deals tokens out: on a day with three outages
+// once instead of waiting some seconds until a drawer grants tokens: on a day with three outages
 // in a row (two seeds), seven instances refused 13.6 in 100 requests with a named drawer
 // and 10.9 without.
 const minNamedFleet = 16
 
-// claimDrawer names this instance as the shard's drawer before it writes, if it may take that
-// place. Errors: *DrawnElsewhereError.
+// claimDrawer names this instance in the shard as its drawer before a write, if this instance is a
+// candidate. It fails if the drawer named there already is to be asked instead. Errors:
+// *DrawnElsewhereError.
 func (n *Node) claimDrawer(shard int, s *Shard) error {
 	candidates := n.Fleet.Drawers(shard)
 	// An instance that knows few others still sees from the holders in the object that there are
--- a/pkg/prepaid/node.go
+++ b/pkg/prepaid/node.go
@@ -21,7 +21,7 @@
 	exhaustedLifetime = time.Second
 	// maxLoanPeers is how many peers are asked for a loan when the store does not answer.
 	maxLoanPeers = 3
-	// loanAhead is for how much time of its demand an instance borrows in addition to the present
+	// loanAhead is the period of its demand for which an instance borrows in addition to the present
 	// need.
 	loanAhead = 2 * time.Second
 	// lowWaterMark is the fraction of the target below which more tokens are drawn.
@@ -59,7 +59,7 @@
 	Witness(ctx context.Context, to string, req *prepaidpb.WitnessRequest) (*prepaidpb.WitnessReply, error)
 }
 
-// Fleet returns which other instances seem to be alive. Safety does not depend on it.
+// Fleet reports which other instances seem to be alive. Safety does not depend on it.
 type Fleet interface {
 	// Others returns the other live instances in a random order.
 	Others() []string
@@ -68,8 +68,9 @@
 	Joined() bool
 	// NumKnown returns how many instances are known, including this one and silent ones.
 	NumKnown() int
-	// SharesBudgets reports whether the instance of that name still shares the budgets. One that
-	// may only be partitioned does; one that has been silent for long does not.
+	// SharesBudgets reports whether the instance of that name still shares the budgets. An instance
+	// that has been silent for a short time may only be partitioned and still does; one that has
+	// been silent for long does not.
 	SharesBudgets(name string) bool
 	// Live returns the incarnation of the live instance of that name, or "" if there is none. known
 	// says whether an instance of that name is known, alive or not.
@@ -92,7 +93,7 @@
 type Observer interface {
 	// Moved reports what a write moved of a budget and the state after it.
 	Moved(Movement)
-	// Borrowed reports tokens that a peer lent or a drawer dealt out.
+	// Borrowed reports tokens that a peer lent or a drawer granted.
 	Borrowed(budget, lender string, tokens int64)
 	// DrawerAvoided reports that a drawer is avoided for some time, and why.
 	DrawerAvoided(drawer string, backoff time.Duration, cause error)
@@ -122,7 +123,7 @@
 	Address string
 	// Shards is the number of ledger objects.
 	Shards int
-	// Ahead is for how much time of its demand an instance holds tokens, to last through a store
+	// Ahead is the period of its demand for which an instance holds tokens, to last through a store
 	// outage.
 	Ahead time.Duration
 }
@@ -149,7 +150,7 @@
 
 	mu        sync.Mutex
 	shards    []shardState
-	ahead     time.Duration // for how much time of demand tokens are held; grows after an outage
+	ahead     time.Duration // period of demand for which tokens are held; grows after an outage
 	balances  map[string]*balance
 	lastTick  time.Time
 	startedAt time.Time
@@ -231,10 +232,10 @@
 var ErrKeptForUrgent = errors.New("the rest of the budget is kept for urgent requests")
 
 // urgentDivisor: 1/urgentDivisor of the prepaid amount is kept for urgent requests. These are the
-// small ones, a fifth of the demand in tokens, and it lasts for some seconds of them. Without it
-// large requests use up a budget completely and then nobody is served: where all accounts ran out
-// together, 58 of 241 requests were served after a loss of all instances. With a hundredth that
-// still happened on one day of 20 (four seeds of five days); a fiftieth has no measurable cost
+// small ones, a fifth of the demand in tokens; the kept tokens cover them for some seconds. Without
+// this, large requests use up a budget completely and then no request is served: where all accounts
+// ran out together, 58 of 241 requests were served after a loss of all instances. With a hundredth
+// that still happened on one day of 20 (four seeds of five days); a fiftieth has no measurable cost
 // (mean worth 0.468 and 0.470).
 const urgentDivisor = 50
 
--- a/pkg/prepaid/node_test.go
+++ b/pkg/prepaid/node_test.go
@@ -58,8 +58,8 @@
 }
 
 // All instances are partitioned from the store and from each other for seven seconds under steady
-// load. Almost all requests are served, from tokens drawn ahead, and refused ones are told that the
-// store is unavailable, not that the budget is exhausted.
+// load. Almost all requests are served from tokens drawn ahead. The others are refused because the
+// store is unavailable, not because the budget is exhausted.
 func TestCutOffInstancesGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2, 4, map[string]int64{account: 10_000_000})
@@ -82,19 +82,19 @@
 		}
 		served, refused := load(14)
 		if refused > served/20 {
-			t.Errorf("%d served, %d refused while partitioned", served, refused)
+			t.Errorf("%d requests served, %d refused while partitioned", served, refused)
 		}
 		load(20) // until all free tokens are spent
 		_, err := f.nodes[0].Reserve(t.Context(), account, 300, true)
 		var short *prepaid.ShortError
 		if !errors.As(err, &short) || short.Exhausted {
-			t.Errorf("refused with %v", err)
+			t.Errorf("not refused for an unavailable store: %v", err)
 		}
 	})
 }
 
-// The store does not answer one instance, but the others. A request at that instance is served with
-// tokens that another instance lends.
+// The store answers all instances but one. A request at that one is served with tokens that another
+// instance lends.
 func TestPeersLendWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, 3, map[string]int64{account: 1_000_000})
@@ -128,12 +128,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(4, 2, map[string]int64{account: 1000})
 		if !spend(t, f.nodes[0], 1000) {
-			t.Fatal("the first was refused")
+			t.Fatal("the first request was refused")
 		}
 		_, err := f.nodes[0].Reserve(t.Context(), account, 300, true)
 		var short *prepaid.ShortError
 		if !errors.As(err, &short) || !short.Exhausted {
-			t.Errorf("refused with %v", err)
+			t.Errorf("not refused as exhausted: %v", err)
 		}
 		before := f.shards[f.era].version
 		for range 20 {
@@ -144,7 +144,7 @@
 		}
 		f.amounts = prepaid.Amounts{Version: 2, Tokens: map[string]int64{account: 2000}}
 		if !spend(t, f.nodes[0], 300) {
-			t.Error("refused after the top-up")
+			t.Error("a request was refused after the top-up")
 		}
 	})
 }
@@ -182,7 +182,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		defer cancel()
 		if _, err := lone.Reserve(ctx, account, 500, true); err == nil {
-			t.Fatal("the first was served")
+			t.Fatal("the first request was served")
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -220,9 +220,9 @@
 	return err
 }
 
-// Many requests for an account with plenty of tokens reach one instance during its first draw.
-// Tokens drawn for one request are taken by another that came later. Guards against a request that
-// is refused as exhausted, which is final, though the ledger has enough.
+// Many requests for an account with plenty of tokens reach one instance during its first draw, and
+// tokens drawn for one request are taken by another that came later. Guards against refusing the
+// first one as exhausted, which is final, though the ledger has enough.
 func TestTokensTakenByOthersAreNotExhaustion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(12, 1, map[string]int64{account: 1 << 40})
--- a/pkg/prepaid/recall.go
+++ b/pkg/prepaid/recall.go
@@ -54,8 +54,9 @@
 	return len(peers) > 0
 }
 
-// recallPeers returns the instances that hold tokens drawn from the ledger: the drawers of the
-// other regions, whose requesters return to them, or some of all instances.
+// recallPeers returns the instances that are told of a shortage: the drawers of the other regions,
+// to which their requesters return tokens, or, if each instance draws for itself, up to
+// maxRecallPeers of all instances.
 func (n *Node) recallPeers(budget string) []string {
 	shard := n.ShardOf(budget)
 	if len(n.Fleet.Drawers(shard)) > 0 {
@@ -70,7 +71,8 @@
 	// maxRecallPeers bounds the messages of one recall. The rest of a large fleet sees the shortage
 	// in the ledger.
 	maxRecallPeers = 24
-	recallTimeout  = 500 * time.Millisecond
+	// recallTimeout bounds one message.
+	recallTimeout = 500 * time.Millisecond
 )
 
 // HandleRecall returns the surplus of a budget that another instance found short.
--- a/pkg/prepaid/recovery.go
+++ b/pkg/prepaid/recovery.go
@@ -10,7 +10,7 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// How an instance helps to settle a ledger object after a store rollback.
+// Parameters of settling a ledger object after a store rollback.
 const (
 	// maxGatherTime is how long a shard waits for instances that share it, are silent and have not
 	// reported: they may be partitioned from the others but still reach the store. After that,
@@ -22,8 +22,8 @@
 	// unreportedDrawTime is for how long an instance that has not reported may have drawn unseen.
 	// The reserve for it is its demand during that time.
 	unreportedDrawTime = 4 * time.Second
-	// maxStoredRowsReported bounds the rows of one report that were seen in the store, to those
-	// written last. Other instances have seen them there as well.
+	// maxStoredRowsReported bounds the rows in one report that the instance has only seen in the
+	// store. The rows written last are reported; other instances have seen them there as well.
 	maxStoredRowsReported = 16
 )
 
@@ -161,8 +161,8 @@
 // others have reported to it.
 func (r *recovery) needsWrite() bool { return r.reportEra != 0 || r.unsettled }
 
-// eras returns the object's era as unsettled if the object waits for reports, else as settled if it
-// can be drawn from; 0 for the other one.
+// eras returns the object's era as unsettled while the object waits for reports, or as settled once
+// it can be drawn from. The other result is 0.
 func (r *recovery) eras() (unsettled, settled uint64) {
 	switch {
 	case r.unsettled:
@@ -225,7 +225,7 @@
 	if last := n.shards[shard].recovery.lastSeen; last != nil && last.Era < era {
 		for writer, row := range last.Writers {
 			if writer != n.Self {
-				rows = append(rows, seenRow{writer, Row{Counters: row.Counters, Own: true}}) // read from the store
+				rows = append(rows, seenRow{writer, Row{Counters: row.Counters, Own: true}}) // the writer itself wrote it to the store
 			}
 		}
 	}
--- a/pkg/prepaid/recovery_test.go
+++ b/pkg/prepaid/recovery_test.go
@@ -21,10 +21,10 @@
 	lost []lostDraw
 }
 
-// lostDraw is what one writer drew of a budget in the time that the store lost.
+// lostDraw is what one writer drew of a budget in writes that a rollback of the store lost.
 type lostDraw struct {
 	writer, budget string
-	// tokens is what the store lost, drawn the writer's total at that time.
+	// tokens is the number of tokens lost, drawn the writer's total before the rollback.
 	tokens, drawn int64
 	// reachable are the writer and its witnesses that were neither crashed nor partitioned since.
 	reachable map[string]bool
@@ -217,8 +217,9 @@
 	return s.Budgets[account].Granted
 }
 
-// Guards against requests that are served from draws made before all instances have reported what
-// the store lost: an unsettled shard restores its writer's draws and grants nothing new.
+// Guards against requests that are served from draws made before all instances have reported the
+// draws that the store lost: a write to an unsettled shard restores its writer's draws and draws
+// nothing new.
 func TestUnsettledShardGivesNothing(t *testing.T) {
 	s, err := prepaid.DecodeShard(nil)
 	if err != nil {
@@ -260,8 +261,8 @@
 }
 
 // Guards against overspending when the drawer crashes as the store is rolled back to before its draws,
-// and only the instances that it dealt tokens to know of them. A drawer sends its drawn total with
-// the tokens that it deals out; the requesters report it, and the draws are in the ledger again
+// and only the instances that it granted tokens to know of them. A drawer sends its drawn total with
+// the tokens that it grants; the requesters report it, and the draws are in the ledger again
 // before any instance draws.
 func TestDrawsOfTheDeadAreBroughtBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -382,9 +383,8 @@
 	})
 }
 
-// Guards against a drawer that writes to the ledger again and again without a pause because it
-// considers the era of the object over: another instance has reported a later era that the store
-// never had.
+// Guards against a drawer that writes to the ledger again and again without a pause. It rejects each
+// result because another instance has reported a later era, which the store never had.
 func TestLedgerOfAnEraTakenForOverIsNotWrittenWithoutAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 3, map[string]int64{account: 1_000_000})
@@ -398,7 +398,7 @@
 			synctest.Wait()
 		}
 		f.rollBack(1000)
-		f.nodes[0].noteStoreEra() // its object waits for the others' reports
+		f.nodes[0].noteStoreEra() // the object that i0 writes waits for the others' reports
 		waitSecond()
 		f.update(func() { f.drawers = []string{"i1"} })
 		f.nodes[1].noteStoreEra()
@@ -410,12 +410,12 @@
 		waitSecond()
 		f.update(func() { f.drawers, f.nodes[1].crashed = []string{"i0"}, true })
 		f.update(func() { f.tries = 0 })
-		f.nodes[2].Tick(t.Context()) // reports to i0, which lacks its report
+		f.nodes[2].Tick(t.Context()) // reports to i0, which still lacks the report of i2
 		time.Sleep(3 * time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.tries > 4 {
-			t.Errorf("%d writes in 3 s", f.tries)
+			t.Errorf("%d write attempts in 3 s, 4 allowed", f.tries)
 		}
 	})
 }
--- a/pkg/prepaid/refill.go
+++ b/pkg/prepaid/refill.go
@@ -10,14 +10,14 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid/prepaidpb"
 )
 
-// How an instance uses its drawers.
+// Parameters of an instance's requests to drawers.
 const (
 	// minDrawerBackoff is how long a drawer that did not answer or declined is avoided; the next
 	// candidate is asked meanwhile. The time doubles with each failure in a row up to
 	// maxDrawerBackoff, since each call to a crashed drawer costs a request its timeout.
 	minDrawerBackoff = 500 * time.Millisecond
 	maxDrawerBackoff = 4 * time.Second
-	// maxDrawersPerRequest is how many drawers one request asks.
+	// maxDrawersPerRequest is the maximum number of times that one request asks a drawer.
 	maxDrawersPerRequest = 3
 	// refillTimeout bounds a report. A report for a waiting request is bounded by needTimeout: a
 	// write by the drawer, a recall and another write.
@@ -150,11 +150,11 @@
 	}
 }
 
-// confirmReturned processes the tokens that a report returned; n.mu is held. Only reports carry
-// more than is confirmed, and one is in progress at a time. If the first report with an amount was
-// declined, the drawer has not counted that amount, and it is free again; otherwise what requesters
-// returned to a stopping drawer was lost. After a lost reply it stays in the total returned to the
-// drawer.
+// confirmReturned updates the totals returned to a drawer after a report; n.mu is held. Only reports
+// carry totals above the confirmed ones, one report at a time. So if the report that raises a total
+// is declined, the drawer has not counted the additional tokens, and they become free again at this
+// instance; without this, tokens that requesters returned to a stopping drawer were lost. If the
+// reply is lost, the drawer may have counted them, and they stay returned.
 func (n *Node) confirmReturned(d *drawerState, demands []*prepaidpb.Demand, err error) {
 	for _, sent := range demands {
 		id := sent.Budget
@@ -254,9 +254,9 @@
 
 // NoteStoreAvailable records that the store answers this instance again after an outage. Drawers
 // that declined or did not answer meanwhile probably reach it again, too, and are asked at once.
-// Otherwise they are avoided for up to maxDrawerBackoff more, and all instances write to the ledger
-// themselves: on four days of large fleets (63 to 81 instances) that made 8 to 18 % of the store
-// calls.
+// Otherwise they would be avoided for up to maxDrawerBackoff more, and all instances would write to
+// the ledger themselves: on four days of large fleets (63 to 81 instances) these writes were 8 to
+// 18 % of the store calls.
 func (n *Node) NoteStoreAvailable() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/prepaid/safety_test.go
+++ b/pkg/prepaid/safety_test.go
@@ -14,7 +14,7 @@
 	"github.com/lavenderring/lavenderring/pkg/prepaid"
 )
 
-// Sizes of one random history.
+// Sizes of one random history, in steps and in tokens.
 const (
 	historySteps   = 250
 	historyPrepaid = 20_000
@@ -189,8 +189,8 @@
 
 // Instances draw, lend and return tokens while the ledger loses answers, applies writes late and is
 // unavailable, instances are partitioned and crash, and operators top up. Clients never get more than
-// was prepaid: what is spent has been deducted durably from the ledger before, and a lost answer, a
-// late write or a crash can only lose tokens.
+// was prepaid: tokens are deducted durably from the ledger before they are spent, and a lost answer,
+// a late write or a crash can only lose tokens.
 func TestNeverMoreThanPrepaid(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 120
--- a/pkg/prepaid/shard.go
+++ b/pkg/prepaid/shard.go
@@ -136,8 +136,8 @@
 	s.Holders[name] = h
 }
 
-// demandElsewhere sums demand and free tokens of a budget at all instances other than name for
-// which counts returns true.
+// demandElsewhere sums the demand for a budget and its free tokens over all holders other than name
+// for which counts returns true.
 func (s *Shard) demandElsewhere(name, budget string, counts func(string) bool) (perSecond float64, held int64) {
 	for other, h := range s.Holders {
 		if other != name && counts(other) {
--- a/pkg/prepaid/share_test.go
+++ b/pkg/prepaid/share_test.go
@@ -39,8 +39,8 @@
 // Two of seven instances get three fifths of the requests, as if one failure domain had several
 // times the clients of the others. All instances are partitioned from the store and from each other
 // for eight seconds. Guards against equal shares: with these the two run out of tokens within
-// seconds and refuse requests while the others hold tokens that nobody asks for. The load is that
-// of a new customer: an account with 1.3 times what its day needs.
+// seconds and refuse requests while the others hold tokens that no request needs. The load is that
+// of a new customer: an account with 1.3 times the tokens that its day needs.
 func TestBusyInstancesOutlastACutInASmallFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		load := &unevenLoad{perTick: []int{18, 18, 5, 5, 5, 5, 4}, size: 1000}
@@ -56,14 +56,15 @@
 		}
 		load.run(t, 16)
 		if load.refusals > load.served/20 {
-			t.Errorf("%d refused, %d served while partitioned", load.refusals, load.served)
+			t.Errorf("%d requests refused, %d served while partitioned", load.refusals, load.served)
 		}
 	})
 }
 
 // One account's requests move from one instance to another, as when a client account's burst ends.
-// Tokens that the first instance held for them go back for use by others, though the account is far
-// from exhausted: tokens held idle are lost when the instance crashes.
+// Guards against an instance that keeps the tokens it held for them. They must go back for use by
+// others even while the account is far from exhausted: tokens held idle are lost when their instance
+// crashes.
 func TestSurplusGoesBackWhenDemandMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		load := &unevenLoad{perTick: []int{40, 0, 0}, size: 1000}
--- a/pkg/prepaid/size_test.go
+++ b/pkg/prepaid/size_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// sizedShard returns a ledger object with that many budgets, each of which that many instances have
-// moved.
+// sizedShard returns a shard with the given number of budgets, of each of which the given number of
+// instances have moved tokens.
 func sizedShard(budgets, instances int) *Shard {
 	s, _ := DecodeShard(nil)
 	amounts := Amounts{Version: 1, Tokens: map[string]int64{}}
--- a/pkg/prepaid/tick.go
+++ b/pkg/prepaid/tick.go
@@ -120,7 +120,7 @@
 	return b.target(b.holdTime(n.ahead))
 }
 
-// How much of a budget is held ahead of demand.
+// Parameters of how much of a budget is held ahead of demand.
 const (
 	// holdDivisor: demand is held for 1/holdDivisor of the time that a budget lasts. What one
 	// instance lacks in an outage it borrows from those that hold more.
@@ -130,8 +130,8 @@
 	shortRemaining = 15 * time.Second
 )
 
-// holdTimeFor returns for how much time of demand tokens are held of a budget that lasts for the
-// remaining time, at most maxHold. With plenty left, losing held tokens with an instance does no
+// holdTimeFor returns the period of demand for which tokens of a budget are held that lasts for the
+// remaining time; at most maxHold. With plenty left, losing held tokens with an instance does no
 // harm, and they serve clients while the instance is partitioned. With little left each token will
 // be needed: one that is held back for a partition serves no more clients than one in the ledger,
 // but is lost with its instance.
@@ -143,7 +143,8 @@
 	return min(held, maxHold)
 }
 
-// writeDue returns surplus tokens of a budget and reports whether the budget needs a write.
+// writeDue marks surplus tokens of a budget as returned and reports whether the budget needs a
+// write; n.mu is held.
 func (n *Node) writeDue(b *balance, shard int) bool {
 	target := n.targetFor(b, shard)
 	surplus := b.free - target
--- a/pkg/prepaid/witness.go
+++ b/pkg/prepaid/witness.go
@@ -11,11 +11,11 @@
 
 // A draw that the store loses, in a rollback to an older copy of itself, is known to the instances
 // that have seen it. The writer must not be the only one. Before any token of the draw is spent,
-// lent or dealt out, the writer therefore reports it to a witness, in another failure domain if
+// lent or granted, the writer therefore reports it to a witness, in another failure domain if
 // there is one. A draw without a witness is treated like one whose answer was lost: it stays in the
 // ledger, and the next write finds it.
 
-// How a writer has its draws witnessed.
+// Parameters of having draws witnessed.
 const (
 	// witnessesPerRound is how many witnesses are asked at once; one that accepts is enough.
 	witnessesPerRound = 2
@@ -128,7 +128,7 @@
 	return newSeenRow(n.Self, drawn)
 }
 
-// Why a witness has not accepted a draw.
+// Reasons why no witness has accepted a draw.
 var (
 	errWitnessDeclined = errors.New("witness declined")
 	errWitnessTimeout  = errors.New("no witness answered in time")
--- a/pkg/prepaid/witness_test.go
+++ b/pkg/prepaid/witness_test.go
@@ -16,7 +16,7 @@
 	drainRounds = 60
 )
 
-// spendAll has the live instances spend all that they get, and returns how much that is.
+// spendAll has the live instances spend all tokens that they get, and returns their number.
 func (f *fleet) spendAll(t *testing.T) (spent int64) {
 	for range drainRounds {
 		for _, m := range f.nodes {
@@ -118,8 +118,8 @@
 	return writer, lent // the borrower spends the lent tokens
 }
 
-// Guards against a draw that is made again because its writer and its witnesses crashed together:
-// instances that were dealt its tokens have seen it, too.
+// Guards against tokens that are drawn again because the writer of the first draw and its witnesses
+// crashed together: instances that were granted tokens of that draw have seen it, too.
 func TestAskersKnowTheDrawOfWhatTheyWereDealt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 9, map[string]int64{account: 10_000})
@@ -162,8 +162,8 @@
 	return all
 }
 
-// Guards against a draw that no instance reports: its witness was asked to remember it after the
-// store's era was over and the witness had reported what it had seen.
+// Guards against a draw that no instance reports after a store rollback: the witness was asked to
+// remember it only after it had reported the draws of that era.
 func TestDrawIsNotWitnessedOnceItsEraHasBeenTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 3, map[string]int64{account: 10_000})
--- a/pkg/prepaid/write.go
+++ b/pkg/prepaid/write.go
@@ -13,11 +13,12 @@
 // started it has given up, since what it draws serves the next ones.
 const writeTimeout = 2 * time.Second
 
-// How much more an instance holds ahead after an outage.
+// Parameters of how much more an instance holds ahead after an outage.
 const (
-	// outageMargin times the outage's length is held, since demand is uneven.
+	// outageMargin times the outage's length is the period of demand for which tokens are held
+	// afterwards. The margin is for uneven demand.
 	outageMargin = 1.5
-	// maxAheadFactor times Config.Ahead is the maximum.
+	// maxAheadFactor times Config.Ahead is the maximum of that period.
 	maxAheadFactor = 2
 )
 
@@ -29,7 +30,7 @@
 // another attempt may succeed.
 var ErrBusy = errors.New("ledger is busy with writes of other instances")
 
-// DrawnElsewhereError means that another instance, which should be asked, draws a shard.
+// DrawnElsewhereError means that another instance draws the shard and is to be asked for tokens.
 type DrawnElsewhereError struct {
 	Shard  int
 	Drawer string
@@ -164,8 +165,9 @@
 	}
 }
 
-// startWrite starts a write of a shard; n.mu is held and no write of it is in progress. need is
-// drawn whole from the budget named; for other budgets what is free is drawn.
+// startWrite starts a write of a shard; n.mu is held and no write of the shard is in progress. Of
+// the budget named, need is drawn whole or not at all; what requests for other budgets wait for is
+// drawn as far as it is free.
 func (n *Node) startWrite(shard int, budget string, need int64) {
 	f := &pendingWrite{done: make(chan struct{}), startedAt: n.Now()}
 	n.shards[shard].pendingWrite = f
@@ -193,9 +195,9 @@
 	return errors.Is(err, ErrBusy) || errors.As(err, &elsewhere)
 }
 
-// setUnavailable records whether the ledger answers. An instance that was without it holds more
-// tokens afterwards: the cause of the outage may come back, and requests were refused in outages
-// longer than the usual one.
+// setUnavailable records whether the ledger answers; n.mu is held. After an outage the instance holds
+// tokens for a longer period: the cause of the outage may return, and requests were refused in
+// outages longer than the usual one.
 func (n *Node) setUnavailable(shard int, unavailable bool) {
 	state := &n.shards[shard]
 	now := n.Now()
@@ -372,8 +374,8 @@
 	return h
 }
 
-// numSharers returns how many share the free tokens: the regions if one instance draws for each,
-// otherwise all instances; n.mu is held.
+// numSharers returns among how many drawers the ledger's free tokens are shared: one for each region
+// if this instance draws for others, otherwise every known instance; n.mu is held.
 func (n *Node) numSharers(shard int) int64 {
 	if n.drawsForOthers(shard) {
 		return int64(max(len(n.Fleet.OtherDrawers(shard))+1, 1))
