--- a/pkg/follow/agemonitor_test.go
+++ b/pkg/follow/agemonitor_test.go
@@ -32,7 +32,7 @@
 			{Copy: "k", Age: 3 * time.Second, StoreAnswers: true},
 		}
 		if len(reports) != len(want) || reports[0] != want[0] || reports[1] != want[1] {
-			t.Errorf("reports: %+v", reports)
+			t.Errorf("unexpected reports: %+v", reports)
 		}
 	})
 }
--- a/pkg/follow/bound_test.go
+++ b/pkg/follow/bound_test.go
@@ -16,7 +16,7 @@
 func TestLastInstanceToKnowKnowsInTime(t *testing.T) {
 	cases := []struct {
 		description string
-		// before sets up what the instance is cut off from, shortly before the change.
+		// before injects the faults of the instance, shortly before the change.
 		before func(last *testInstance)
 	}{
 		{"no confirmation reaches it", func(last *testInstance) {
@@ -93,7 +93,7 @@
 
 // Guards against many instances calling the store at once whenever the network loses some messages,
 // because each considers the publisher crashed after one missed confirmation. They must query each
-// other first, and the store gets hardly more calls than without losses.
+// other first, and the store must get hardly more calls than without losses.
 func TestLostConfirmationsCostTheStoreNothing(t *testing.T) {
 	const span = 60 * time.Second
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/follow/circuitbreaker.go
+++ b/pkg/follow/circuitbreaker.go
@@ -11,8 +11,8 @@
 const probeInterval = 400 * time.Millisecond
 
 // unavailableAfterFailures is the number of unanswered calls in a row after which the store counts as
-// unavailable for all copies. A single call may have been lost by itself; if that counted as an
-// outage, its end would keep entries that are removed at that moment.
+// unavailable for all copies. A single call may have been lost by itself. If that counted as an
+// outage, instances would keep the upstreams whose entries are removed when the outage seems to end.
 const unavailableAfterFailures = 2
 
 // CircuitBreaker limits the followers of one instance to one call at a time to a store that does
--- a/pkg/follow/confirm.go
+++ b/pkg/follow/confirm.go
@@ -28,7 +28,7 @@
 }
 
 // WatchesStore reports whether this instance watches the store itself: because it publishes the
-// confirmations for all instances, or because nobody confirms its own copy.
+// confirmations for all instances, or because no other instance confirms this copy.
 func (f *Follower) WatchesStore() bool {
 	timeout := f.confirmTimeout()
 	if timeout == 0 {
--- a/pkg/follow/contents.go
+++ b/pkg/follow/contents.go
@@ -20,7 +20,8 @@
 type contents struct {
 	mu      sync.Mutex
 	objects map[string]store.Object
-	// deleted maps the key of each deleted object to a position by which the object was gone.
+	// deleted maps the key of each deleted object to the position of the answer that showed the
+	// deletion; the position of the deletion itself is not known.
 	deleted map[string]store.Position
 	// position is the position up to which the copy is complete. Every deletion after deletionsFrom
 	// is in deleted.
--- a/pkg/follow/copyserver.go
+++ b/pkg/follow/copyserver.go
@@ -26,8 +26,8 @@
 	// catchUpPause spreads the next request of an instance that was refused: a copy of 40 kB takes
 	// 35 ms on the smallest link.
 	catchUpPause = 40 * time.Millisecond
-	// fetchTimeout bounds one request with its reply. It is long enough for a copy on its way over
-	// a saturated link: a requester that gives up in the middle starts over.
+	// fetchTimeout bounds one request with its reply. It is long enough to transfer a copy over a
+	// saturated link, since a requester that gives up during the transfer starts over.
 	fetchTimeout = 2 * time.Second
 )
 
@@ -189,9 +189,9 @@
 	return p.FetchFrom(ctx, name, address)
 }
 
-// catchUp requests what a copy lacks: first from the instance that published it, then from
-// instances which that one served, then from any. It ends when the copy has reached the position,
-// or when it is time to call the store.
+// catchUp requests the changes that a copy lacks up to a published position: first from the instance
+// that published it, then from the instances that it names as recent recipients, then from any. It
+// ends when the copy has reached the position, or when it is time to call the store.
 func (p *Publisher) catchUp(name, address string, upTo store.Position) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.timing.BehindTimeout)
 	defer cancel()
@@ -211,7 +211,7 @@
 }
 
 // numQueriedPeers is how many other instances are queried when confirmations stop arriving: one of
-// them may be unconfirmed as well, or have crashed.
+// them may lack confirmations as well, or have crashed.
 const numQueriedPeers = 2
 
 // querySomePeers queries some other instances for changes to a copy or a confirmation of it. It
--- a/pkg/follow/fleet_test.go
+++ b/pkg/follow/fleet_test.go
@@ -72,7 +72,7 @@
 	publisher *Publisher
 	stop      context.CancelFunc
 	// lostChanges is the number of further confirmations with changes that do not reach the
-	// instance; losesUnchanged is set if none without changes do.
+	// instance. losesUnchanged is set if no confirmation without changes reaches it.
 	lostChanges    atomic.Int32
 	losesUnchanged atomic.Bool
 	// receivesNothing is set if no confirmation reaches the instance, isolated if it reaches no
@@ -218,9 +218,9 @@
 }
 
 // Guards against copies that stay outdated after the store loses its answers repeatedly, for a
-// moment or for seconds, while changes are made at any time and publishing instances die. A dropped
-// route or a leaving upstream must not be used 2 s after its change: from 3 s after each outage on,
-// every live copy must have every change that is 2 s old.
+// moment or for seconds, while changes are made at any time and publishing instances crash. A
+// dropped route or a leaving upstream must not be used 2 s after its change: from 3 s after each
+// outage on, every live copy must have every change that is 2 s old.
 func TestCopiesAreNeverOldOnceTheStoreAnswers(t *testing.T) {
 	cases := []struct {
 		description string
@@ -246,7 +246,8 @@
 type fleetOptions struct {
 	size       int
 	answerTime time.Duration
-	// bound is that of a change; 0 for the shortest of the users' deployments.
+	// bound is the time within which a change must be in force; 0 for the shortest bound of the
+	// users' deployments.
 	bound time.Duration
 	// killsPublishers is set if the first live instance crashes in each outage.
 	killsPublishers bool
@@ -295,7 +296,8 @@
 				fleet := startFleet(t.Context(), fleetOptions{size: size, answerTime: answerTime})
 				defer fleet.end()
 				time.Sleep(quietPeriod)
-				// One instance's short watches, and two of each instance until it is confirmed.
+				// One instance's short watches, and two watches of each instance until it is
+				// confirmed.
 				maxCalls := int(quietPeriod/maxWatchTimeout) + 2*size
 				if calls := fleet.store.count(); calls > maxCalls {
 					t.Errorf("%d watches in %v, more than %d", calls, quietPeriod, maxCalls)
@@ -434,11 +436,11 @@
 	}
 	for n, step := range steps {
 		if applied := f.ApplyContents(step.contents); applied != step.applied {
-			t.Errorf("step %d: applied %t", n, applied)
+			t.Errorf("step %d: contents applied %t, want the opposite", n, applied)
 		}
 	}
 	if recorder.get() != store.At(9) {
-		t.Errorf("the copy is at %v", recorder.get())
+		t.Errorf("the copy is at %v, want version 9", recorder.get())
 	}
 }
 
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -3,10 +3,10 @@
 //
 // One instance of a region, the publisher, sends watches with a short timeout and publishes their
 // results to the other instances: a confirmation that nothing changed, or the changes themselves.
-// The other instances call the store only while nobody confirms their copies, so the load of the
-// store does not grow with the fleet. If every instance watched the store, each change would end
-// all their watches, and after each outage all of them would call again: with 295 instances that
-// was two of three calls.
+// The other instances call the store only while no instance confirms their copies, so the load of
+// the store does not grow with the fleet. When every instance watched the store, each change ended
+// all their watches, and after each outage all of them called again: with 295 instances, these were
+// two of three calls.
 //
 // A pending watch does not show whether its answer can still arrive. When an answer is lost on the
 // way, the connection stays up and the kernel of the other end still acknowledges it, so no
@@ -44,8 +44,8 @@
 	// listAfter is how long a copy of few objects is unconfirmed before it is read by a list
 	// instead of a watch.
 	listAfter = 3 * time.Second
-	// breakerPollInterval is how often a follower checks whether it may call the store, or still
-	// needs to.
+	// breakerPollInterval is how often a follower whose call was deferred checks whether it may call
+	// the store, or still needs to.
 	breakerPollInterval = 50 * time.Millisecond
 	// minRetryInterval and maxRetryInterval bound the pause between failing calls, which doubles from one
 	// to the other: short enough to be up to date within a second of the store's recovery, long
@@ -76,8 +76,8 @@
 	// OnCallFailed is called for each failed call. OnStoreRecovered is called for the first call that
 	// succeeds afterwards, or when confirmations show that other instances reach the store; its
 	// argument tells whether the store was unavailable to all instances. OnWatchStarted is called
-	// each time this instance begins to watch the store itself, with the reason and the time for
-	// which the confirmations of others sufficed. Each may be nil.
+	// each time this instance begins to watch the store itself, with the reason and with how long it
+	// had relied on the confirmations of others. Each may be nil.
 	OnCallFailed     func(err error)
 	OnStoreRecovered func(outage bool)
 	OnWatchStarted   func(reason Reason, waited time.Duration)
@@ -187,9 +187,9 @@
 	}
 }
 
-// handleOutageEnd records that the store answers another instance again after an outage. This
-// instance may not have noticed the outage, since it does not call the store itself. Each end is
-// reported several times and counts once.
+// handleOutageEnd records that another instance reported the end of a store outage, some time ago.
+// This instance may not have noticed the outage, since it does not call the store itself. Each end
+// is reported several times and counts once.
 func (f *Follower) handleOutageEnd(ago time.Duration) {
 	if f.fresh.recordOutageEnd(ago) && f.OnOutageEnded != nil {
 		f.OnOutageEnded(ago)
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -53,7 +53,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedStore{watches: []scriptedAnswer{
 			{changes: store.Changes{Position: store.At(12), Changes: []store.Change{{}}}},
-			{err: errors.New("cut")},
+			{err: errors.New("connection reset")},
 			{err: store.ErrUnavailable},
 			{changes: store.Changes{Position: store.At(15)}},
 			{err: store.ErrHistoryGone},
@@ -68,7 +68,7 @@
 			t.Errorf("watched from %v, want %s", s.watchedFrom, want)
 		}
 		if *c != (copyCalls{replaced: 2, applied: 3, lost: 2, found: 1}) {
-			t.Errorf("got %+v", *c)
+			t.Errorf("unexpected numbers of calls: %+v", *c)
 		}
 	})
 }
--- a/pkg/follow/freshness.go
+++ b/pkg/follow/freshness.go
@@ -86,8 +86,8 @@
 	return !s.lastConfirmed.IsZero() && time.Since(s.lastConfirmed) <= age
 }
 
-// timeSinceOutage returns the time since the last outage ended; false if that is longer than
-// outageReportPeriod ago.
+// timeSinceOutage returns the time since the last outage ended; false if it ended outageReportPeriod
+// ago or earlier.
 func (s *freshness) timeSinceOutage() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,18 +95,18 @@
 	return ago, !s.outageEndedAt.IsZero() && ago < outageReportPeriod
 }
 
-// sameOutageTolerance is how far apart instances may notice the end of one outage: some probe the
-// store once in 0.4 s, with calls that time out after a second.
+// sameOutageTolerance is the maximum difference between the times at which instances notice the end
+// of one outage: some probe the store once in 0.4 s, with calls that time out after a second.
 const sameOutageTolerance = 2 * time.Second
 
 // outageReportPeriod is how long the end of an outage is reported to other instances: entries of
 // live upstreams that expired during the outage are written again within about two seconds.
 const outageReportPeriod = 3 * time.Second
 
-// confirm records what another instance read. If this copy has reached the position, it is
-// confirmed as of the time of that read, even if the other instance has not seen this copy's last
-// change yet; a later position shows that this copy lacks something. A confirmation from a past era
-// is ignored.
+// confirm records a read of the store by another instance, age ago, that showed no change after
+// lastChange. If this copy has reached lastChange, it is confirmed as of the time of that read, even
+// if the other instance has not seen this copy's last change yet. Otherwise this copy lacks a change.
+// A confirmation from a past era is ignored.
 func (s *freshness) confirm(lastChange store.Position, age time.Duration) (complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/follow/histories_test.go
+++ b/pkg/follow/histories_test.go
@@ -102,8 +102,8 @@
 // lastInContact returns the last moment before until at which an instance was in contact, and
 // whether it is after from.
 func lastInContact(disturbed []span, from, until time.Time) (time.Time, bool) {
-	// An instance is in contact if it was undisturbed for the whole contact time before. The result
-	// is what remains of [from, until) without the spans, each extended by the contact time.
+	// An instance is in contact if it was undisturbed for the last simContactTime. The loop moves
+	// until back over every disturbed span, extended by simContactTime, that contains it.
 	for moved := true; moved; {
 		moved = false
 		for _, s := range disturbed {
@@ -174,7 +174,7 @@
 // Guards against a change that comes into force late at a few of hundreds of instances, which then
 // serve a dropped route or use an upstream that has left. The histories combine the causes of
 // delay: the store refuses the instances that read it first, changes are superseded before they
-// have spread, and meanwhile instances start, die and are partitioned.
+// have spread, and meanwhile instances start, crash and are partitioned.
 func TestDrawnHistoriesBringEachChangeInTime(t *testing.T) {
 	count, instances, from := 6, min(63, largeFleet), uint64(1)
 	if *numHistories > 0 {
--- a/pkg/follow/lost_test.go
+++ b/pkg/follow/lost_test.go
@@ -25,7 +25,7 @@
 )
 
 // lossyStore is a store of one kind in virtual time. While it loses answers it accepts every call
-// and answers none, also later; connections stay up meanwhile.
+// and never answers it, not even afterwards; connections stay up meanwhile.
 type lossyStore struct {
 	store.Store
 	answerTime time.Duration
@@ -141,7 +141,7 @@
 // Guards against a follower that waits for a lost answer. When the store loses its answers for six
 // seconds, a watch sent during that time, or ended by a change during it, is never answered. The
 // connection stays up and keep-alive probes detect nothing, so the follower waited 32 s without
-// another call, twenty of them after the store had recovered; a client was served by a route
+// another call, 20 s of them after the store had recovered. Meanwhile a client was served by a route
 // dropped 2.6 s before, and an upstream that had left still got requests.
 func TestLostAnswerHidesNoChange(t *testing.T) {
 	cases := []struct {
--- a/pkg/follow/outage_test.go
+++ b/pkg/follow/outage_test.go
@@ -15,11 +15,11 @@
 	return &followpb.Confirmation{From: "first", Copies: []*followpb.CopyState{state}}
 }
 
-// Guards against a request that reaches an upstream two seconds or more after it has left: its
-// removed entry was kept because it was attributed to an outage that had just ended. That outage
-// had ended three seconds before; another instance noticed the end a little later and still
-// reported it when this one had just discarded it, and the report counted as the end of another
-// outage. An end must count once, and as of its time.
+// Guards against a request that reaches an upstream two seconds or more after the upstream has left.
+// The upstream was kept because its entry seemed to have expired in an outage that had just ended.
+// In fact that outage had ended three seconds before: another instance had noticed the end a little
+// later and still reported it when this instance no longer remembered it, and the report counted as
+// the end of another outage. Each end must count once, and as of its time.
 func TestEndOfAnOutageCountsOnceAndAsOfItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ends []time.Time
@@ -46,10 +46,10 @@
 	})
 }
 
-// Guards against the same fault without any outage: the store did not answer one instance for nine
-// seconds but answered all others. When it answers that instance again, that instance, and through
-// its confirmations all others, attribute removed entries to an outage. While others confirm an
-// instance's copy, the store must not count as unavailable.
+// Guards against upstreams that are kept after they have left, without any outage: the store did not
+// answer one instance for nine seconds but answered all others. When the store answered it again,
+// that instance, and through its confirmations all others, assumed that removed entries had expired
+// in an outage. While others confirm an instance's copy, the store must not count as unavailable.
 func TestInstanceThatIsCutOffAloneHasNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := startFleet(t.Context(), fleetOptions{size: 9, answerTime: answerTime})
--- a/pkg/follow/simcopy_test.go
+++ b/pkg/follow/simcopy_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// recordMissing records the changes that the instance lacked until now.
+// recordMissing records the changes that the instance still lacks when it ends.
 func (c *simCopy) recordMissing() {
 	c.instance.sim.store.mu.Lock()
 	revision := c.instance.sim.store.revision
--- a/pkg/follow/simulation_test.go
+++ b/pkg/follow/simulation_test.go
@@ -93,8 +93,8 @@
 	kind     string
 	instance int
 	change   store.Position
-	// startedAt is when the process was started; appliedAt is when it had the change, or ended
-	// without it.
+	// startedAt is when the process was started; appliedAt is when it applied the change, or when it
+	// ended without having applied it.
 	startedAt, appliedAt time.Time
 }
 
--- a/pkg/follow/timing.go
+++ b/pkg/follow/timing.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// DefaultBound is the default for the time within which a change must be in force at all instances.
+// DefaultBound is the time within which a change must be in force at all instances unless the
+// settings say otherwise.
 const DefaultBound = 2 * time.Second
 
 // Parts of a bound that are not available for detecting that a copy is stale.
@@ -28,11 +29,12 @@
 	// maxLastTimeout: with it, an instance that lost its publishers in an outage is up to date
 	// within 3 s, the time allowed for recovery.
 	maxLastTimeout = 2200 * time.Millisecond
-	// maxRelaxedWatchTimeout and maxRelaxedLastTimeout apply instead to copies with a longer bound.
+	// maxRelaxedWatchTimeout and maxRelaxedLastTimeout replace the two limits above for copies whose
+	// bound is longer than that of other copies (RelaxedTimingFor).
 	maxRelaxedWatchTimeout = 1500 * time.Millisecond
 	maxRelaxedLastTimeout  = 3 * time.Second
 	// maxBehindTimeout: passed from each instance to several others, a large configuration reaches
-	// 300 instances within half a second; calling the store earlier than that costs a call.
+	// 300 instances within half a second; calling the store earlier would cost a needless call.
 	maxBehindTimeout = 600 * time.Millisecond
 	// maxHedgeDelay is longer than a slow store takes to answer.
 	maxHedgeDelay = 350 * time.Millisecond
