--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -21,7 +21,7 @@
 	dialTimeout = 300 * time.Millisecond
 	// maxAnswerBytes bounds an answer that is buffered whole.
 	maxAnswerBytes = 16 << 20
-	// concurrentSendBytes is the size above which a body is sent while the answer
+	// concurrentSendBytes is the size in bytes above which a body is sent while the answer
 	// is being read: an upstream may answer before it has read the whole body.
 	concurrentSendBytes = 8 << 10
 	// failoverFraction is the fraction of a route's timeout after which an idempotent
@@ -78,7 +78,8 @@
 	return failed
 }
 
-// release returns the upstream's lease and the connection.
+// release ends the lease with the attempt's result, and returns the connection to the pool or
+// drops it.
 func (a *attempt) release(ctx context.Context, failed *failure) {
 	result := placement.Succeeded
 	switch {
@@ -116,9 +117,9 @@
 	if failed := a.connect(ctx); failed != nil {
 		return failed
 	}
-	// The upstream may have announced that it is leaving while the connection was set up. A request
-	// sent now could arrive after the time that leaving may take, and be cut off there. After this
-	// check only the network delay remains between what this instance knows and the upstream.
+	// While the connection was set up, the upstream may have announced that it is leaving. A request
+	// sent to it now could arrive after the time that leaving may take, and be cut off there. After
+	// this check, only the delay of the network remains in which the upstream may leave unnoticed.
 	if !a.lease.InService() {
 		return &failure{step: stepBeforeSend, peer: a.lease.Address, err: errLeaving, neutral: true}
 	}
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// headDeadline is when an attempt without an answer is given up: before the
+// headDeadline returns when an attempt without an answer is given up: before the
 // request's deadline if another upstream may still be tried.
 func (a *attempt) headDeadline() time.Time {
 	c := a.c
@@ -193,8 +194,9 @@
 		maxWait = silenceFactor * c.route.Objective
 	}
 	if a.lease.Long {
-		// The engine is still in prefill, and another would take as long again: the client
-		// would leave before that, and both prefills would be billed for nothing.
+		// The engine of a long prompt may still be in prefill, and another engine would take as
+		// long again: the client would leave before that, and both prefills would be billed for
+		// nothing.
 		return c.deadline
 	}
 	if earlier := c.f.Now().Add(maxWait); earlier.Before(c.deadline) {
@@ -230,11 +232,11 @@
 	write()
 }
 
-// typicalHeadBytes is the initial buffer size for a request head.
+// typicalHeadBytes is the initial buffer size for a request head, in bytes.
 const typicalHeadBytes = 1024
 
-// resumeAfter returns the id of the event after which the stream continues; empty to
-// start from the beginning.
+// resumeAfter returns the id of the event after which the next attempt's stream continues;
+// empty to start from the beginning.
 func (c *call) resumeAfter() string {
 	if c.lastEventID != "" {
 		return c.lastEventID
@@ -308,7 +310,7 @@
 	answer := &wholeAnswer{head: *head, body: body}
 	switch {
 	case meansNotRun(head.Status):
-		// Clients read this status as "not run", which the upstream did not state.
+		// Clients read this status as "not run", but the upstream did not say so (NotRun).
 		return a.outcomeUnknown("status", errRefused).markAnswered()
 	case head.Status >= http.StatusInternalServerError:
 		a.c.upstreamFailure = answer
--- a/pkg/forward/call.go
+++ b/pkg/forward/call.go
@@ -32,7 +32,7 @@
 	// have run, after which the client is never told "not run".
 	numSent    int
 	mayHaveRun bool
-	// earlierMayHaveRun says the same of the attempts before the current one.
+	// earlierMayHaveRun says that one of the attempts before the current one may have run.
 	earlierMayHaveRun bool
 	// tried holds the ids of the upstreams that are not chosen again.
 	tried []string
@@ -50,7 +50,7 @@
 	fingerprint *fingerprint.Fingerprint
 }
 
-// setDeadline sets the deadline to the shorter of the client's and the route's timeouts.
+// setDeadline derives the deadline from the shorter of the client's and the route's timeouts.
 func (c *call) setDeadline() {
 	wait := c.route.Timeout
 	if c.r.ClientTimeout > 0 && (wait <= 0 || c.r.ClientTimeout < wait) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// settleReservation bills what was delivered: the prompt's tokens once the request may
-// have run, output tokens as they were delivered.
+// settleReservation settles the reservation with the billed tokens: those of the prompt if the
+// request may have run, and the output tokens of the events that were delivered.
 func (c *call) settleReservation() {
 	if c.reservation == nil {
 		return
@@ -125,8 +125,9 @@
 type failure struct {
 	step, peer string
 	err        error
-	// neutral says that the failure does not count against the upstream: it refused because of
-	// its load, it is leaving, or this instance has its share of connections to it.
+	// neutral says that the failure does not count against the upstream: the upstream refused
+	// because of its load or is leaving, or this instance has used up its share of the connections
+	// to it.
 	neutral bool
 	// noRetry forbids another attempt.
 	noRetry bool
--- a/pkg/forward/crash.go
+++ b/pkg/forward/crash.go
@@ -34,8 +34,8 @@
 }
 
 // chooseForRun leases an upstream for a run. A request that may crash upstreams is not sent to one whose
-// process may have ended, since it could not be distinguished from the next process at that address. If there
-// is no other upstream, a request that is not suspected yet is sent there all the same.
+// process may have ended, since that process could not be distinguished from the next one at its address. If
+// there is no other upstream, a request that is not suspected yet is sent there all the same.
 func (c *call) chooseForRun(run quarantine.Run) (*placement.Lease, *failure) {
 	tried := c.tried
 	lease, failed := c.chooseUpstream()
--- a/pkg/forward/forwarder.go
+++ b/pkg/forward/forwarder.go
@@ -24,8 +24,8 @@
 // Bounds of the pipeline.
 const (
 	// reserveTimeout bounds the search for tokens at other instances and in the
-	// store. Answers come within milliseconds, and the request's time is better spent
-	// than on waiting for one that does not answer.
+	// store. They normally answer within milliseconds, and the request needs the rest of its
+	// time for the upstream.
 	reserveTimeout = 400 * time.Millisecond
 	// defaultRetryAfter applies to refusals that another instance, or this one a moment
 	// later, may not make again.
@@ -33,14 +33,14 @@
 	// outageRetryAfter applies if the instance reaches neither the ledger nor a lender, or
 	// has no configuration while the store is unavailable: half of the longest outage for
 	// which tokens are held by default. A client that comes back during the same outage is
-	// refused for good, and one that waits loses nothing beyond the refusal. Clients wait
-	// for at most a third of the time that they have left.
+	// refused for good. One that waits loses nothing more, as it has been refused anyway.
+	// Clients wait for at most a third of the time that they have left.
 	outageRetryAfter = 6 * time.Second
 	// tokensShortRetryAfter applies while other instances still return what they hold of a
 	// budget that is short: they report twice a second.
 	tokensShortRetryAfter = 1200 * time.Millisecond
-	// stopAcceptPeriod is how long after the begin of a planned stop requests with any
-	// deadline are still accepted: by then the load balancer sends no more here.
+	// stopAcceptPeriod is how long after the start of a planned stop requests with any
+	// deadline are still accepted: the load balancer sends no more requests here after that.
 	stopAcceptPeriod = 2500 * time.Millisecond
 	// emptiedRetryAfter applies while operators have emptied the failure domains that would
 	// serve: they restore them after seconds at the earliest.
@@ -77,7 +77,7 @@
 	// Quarantine finds requests that crash upstreams; New creates one if it is nil.
 	Quarantine *quarantine.Table
 	// ColdLimit limits the requests sent to upstreams that have just started; nil for no limit.
-	// ColdOverage and ColdSlack complete the limit that each service sets.
+	// ColdOverage and ColdSlack, with the rate that each service sets, form a coldlimit.Bound.
 	ColdLimit              placement.ColdLimit
 	ColdOverage, ColdSlack float64
 	// Overload limits the requests accepted while this instance's network link is saturated; nil
--- a/pkg/forward/starting.go
+++ b/pkg/forward/starting.go
@@ -7,8 +7,9 @@
 
 // maxSyncWait is how long after its start an instance lets requests wait for the configuration and
 // the upstreams, which other instances or the store send within a few hundred milliseconds. A client whose
-// request is refused meanwhile has used one of its few tries, and if all instances start at once the others
-// would refuse it too. An instance that has neither by then may not get them for a long time.
+// request is refused meanwhile has used one of its few tries, and if all instances start at once, the other
+// instances would refuse its next try, too. An instance that has no configuration or no upstreams after this
+// time may not get them for a long time.
 const maxSyncWait = 700 * time.Millisecond
 
 // awaitSynced waits until a starting instance can serve, for at most maxSyncWait from its start.
--- a/pkg/forward/starting_test.go
+++ b/pkg/forward/starting_test.go
@@ -49,7 +49,7 @@
 			close(synced)
 		})
 		reason, took := serveOne(f)
-		if reason != NoRoute || took != comesAfter { // a configuration without routes
+		if reason != NoRoute || took != comesAfter { // the configuration has no routes
 			t.Errorf("refused for %s after %s", reason, took)
 		}
 	})
--- a/pkg/forward/stream.go
+++ b/pkg/forward/stream.go
@@ -14,9 +14,9 @@
 
 // Bounds of a stream.
 const (
-	// streamReadBytes is the size of one read of a stream.
+	// streamReadBytes is the maximum size of one read of a stream.
 	streamReadBytes = 8 << 10
-	// maxEventBytes bounds one event.
+	// maxEventBytes is the maximum size of one event.
 	maxEventBytes = 1 << 20
 )
 
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// dropDelivered drops the events up to the last one that the client has, and returns the
-// rest, their number and the last id among them. An upstream that resumes a
-// stream may repeat the event after which it is to continue.
+// dropDelivered drops the events up to the one with the id have, the last that the client has. It
+// returns the remaining events, their number and the last id among them. An upstream that resumes
+// a stream may repeat the event after which it is to continue.
 func dropDelivered(events []byte, have string) (rest []byte, count int64, last string) {
 	limit, limited := parseEventNumber(have)
 	rest = events
--- a/pkg/forward/streamtiming.go
+++ b/pkg/forward/streamtiming.go
@@ -6,8 +6,8 @@
 	"github.com/lavenderring/lavenderring/pkg/eventlog"
 )
 
-// streamTiming records when a stream's first event came and the longest pause between two events,
-// from which on-call engineers see why its client found it slow.
+// streamTiming records how long a stream's first event took and the longest pause between two
+// events. From these, on-call engineers see why the client found the stream slow.
 type streamTiming struct {
 	firstEvent, longestPause time.Duration
 	lastEventAt              time.Time
