--- a/pkg/router/background.go
+++ b/pkg/router/background.go
@@ -13,14 +13,14 @@
 const (
 	// tokenTickInterval is how often tokens are drawn ahead and returned.
 	tokenTickInterval = 500 * time.Millisecond
-	// housekeepInterval is how often idle connections are closed and upstreams
-	// removed that did not come back.
+	// housekeepInterval is how often expired idle connections are closed, and upstreams that
+	// did not come back are removed.
 	housekeepInterval = 200 * time.Millisecond
 	// statusInterval is how often an instance logs its counters.
 	statusInterval = 10 * time.Second
 	// syncCheckInterval is how often a starting instance checks whether it can serve.
 	syncCheckInterval = 20 * time.Millisecond
-	// loadLogInterval is how often a change of the overload state is looked for and logged.
+	// loadLogInterval is how often the overload state is checked; a change is logged.
 	loadLogInterval = 500 * time.Millisecond
 	// memberLogInterval is how often members that joined or left are logged.
 	memberLogInterval = time.Second
@@ -130,8 +130,9 @@
 // maxNamedUpstreams bounds the upstreams that one log event names.
 const maxNamedUpstreams = 8
 
-// logUpstreamsLeft logs from when on this instance sends nothing new to upstreams that left.
-// Operators compare this with the time at which the upstreams announced it.
+// logUpstreamsLeft logs which upstreams have left, at the time from which this instance sends them
+// no new requests. Operators compare it with the time at which the upstreams announced that they
+// leave.
 func (r *Router) logUpstreamsLeft() {
 	left := r.registry.TakeLeft()
 	if len(left) == 0 {
--- a/pkg/router/followers.go
+++ b/pkg/router/followers.go
@@ -47,8 +47,9 @@
 func (r *Router) setCallbacks(name string, follower *follow.Follower) {
 	follower.OnCallFailed = func(err error) { r.handleCallFailed(name, err) }
 	follower.OnStoreRecovered = func(outage bool) {
-		// It also counts if another instance reports that the store answers it: this
-		// instance gets what it needs of the store through the others.
+		// OnStoreRecovered is also called when confirmations show that the store answers other
+		// instances. This counts as available, too: this instance gets what it needs from the
+		// store through them.
 		r.recordStoreResult(nil)
 		switch {
 		case name != copyUpstreams:
@@ -67,8 +68,8 @@
 	}
 }
 
-// handleCallFailed handles a call to the store that failed for a copy, and queries another instance for
-// all copies.
+// handleCallFailed logs a call to the store that failed for a copy, and queries another instance for all
+// copies.
 func (r *Router) handleCallFailed(name string, err error) {
 	r.logWatchFailed(name, err)
 	if name == copyUpstreams && !r.followers[name].ConfirmedRecently() {
@@ -77,20 +78,20 @@
 	r.publisher.QueryRandomPeer(r.backgroundCtx)
 }
 
-// How a starting instance fetches its first copies.
+// Parameters of how a starting instance fetches its first copies.
 const (
 	// initialFetchTimeout bounds a request for a first copy to another instance.
 	initialFetchTimeout = 300 * time.Millisecond
 	// initialFetchInterval is how often a starting instance requests a first copy from others.
 	initialFetchInterval = 100 * time.Millisecond
-	// maxInitialFetchTime is how long it requests a first copy before it reads the store, and
-	// initialFetchJitter spreads the reads of instances that start at once: with all seeds gone,
-	// 300 instances read several lists of the store each.
+	// maxInitialFetchTime is how long a starting instance requests a first copy before it reads
+	// the store. initialFetchJitter spreads the reads of instances that start at once: with all
+	// seeds gone, 300 instances read several lists of the store each.
 	maxInitialFetchTime = time.Second
 	initialFetchJitter  = time.Second
 	// maxUnansweredTime replaces maxInitialFetchTime while no instance has answered: instances
-	// that start together do so within a few hundred milliseconds, and refuse connections until
-	// then.
+	// that start together are up within a few hundred milliseconds of each other, and refuse
+	// connections until then.
 	maxUnansweredTime = 500 * time.Millisecond
 	// numInitialFetchPeers is how many instances are queried in each round.
 	numInitialFetchPeers = 3
--- a/pkg/router/quarantine.go
+++ b/pkg/router/quarantine.go
@@ -8,7 +8,7 @@
 	"github.com/lavenderring/lavenderring/pkg/pause"
 )
 
-// How a starting instance learns of requests that crash upstreams.
+// Parameters of how a starting instance learns of requests that crash upstreams.
 const (
 	// maxCompareWait bounds the wait for another instance's quarantine table: a longer wait
 	// would affect more clients than the table protects.
@@ -17,8 +17,8 @@
 	verdictsRetryInterval = 500 * time.Millisecond
 )
 
-// awaitQuarantine waits until another instance has sent which requests must not run, no other instance
-// was found, or maxCompareWait is over. It reports false if ctx ended first.
+// awaitQuarantine waits until another instance has sent its quarantine table, the search has found no
+// other instance, or maxCompareWait is over. It reports false if ctx ended first.
 func (r *Router) awaitQuarantine(ctx context.Context) bool {
 	for began := time.Now(); time.Since(began) < maxCompareWait; {
 		if r.quarantine.Compared() || r.discovery.FoundNobody() {
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -84,7 +84,8 @@
 	forward       *forward.Forwarder
 	coldLimit     *coldlimit.Limit
 	overloadLimit *overload.Limit
-	// loggedOverloaded is the overload state that was logged last; only one background task uses it.
+	// loggedOverloaded is the overload state that was logged last. It needs no lock, because only
+	// the background task logOverload uses it.
 	loggedOverloaded bool
 
 	clientServer *door.Server
@@ -101,14 +102,15 @@
 	// domains by the names of their copies.
 	followers map[string]*follow.Follower
 	publisher *follow.Publisher
-	// ageMonitor is used by one background task only.
+	// ageMonitor needs no lock, because only the background task housekeep uses it.
 	ageMonitor follow.AgeMonitor
 	// discovery finds the other instances.
 	discovery *meeting.Discovery
 
 	memberLogger member.ChangeLogger
 
-	// synced is closed once the instance has a configuration and the upstreams.
+	// synced is closed once the instance has a configuration, the upstreams and the emptied failure
+	// domains.
 	synced chan struct{}
 
 	backgroundCtx    context.Context
@@ -237,7 +239,7 @@
 	})
 }
 
-// discoverAt makes the instance at an address known.
+// discoverAt adds the instance at an address, if there is one, to the known ones.
 func (r *Router) discoverAt(address string) { r.discovery.DiscoverAt(r.backgroundCtx, address) }
 
 // liveNames returns the names of all live instances.
@@ -267,7 +269,7 @@
 		return fmt.Errorf("listen for clients: %w", err)
 	}
 	if r.readyServer, err = httpserve.Listen(httpserve.Options{Address: s.ReadyAddress, MaxBodyBytes: maxAdminBodyBytes}); err != nil {
-		return fmt.Errorf("listen for the balancer: %w", err)
+		return fmt.Errorf("listen for the load balancer: %w", err)
 	}
 	if r.adminServer, err = httpserve.Listen(httpserve.Options{Address: s.AdminAddress, MaxBodyBytes: maxAdminBodyBytes}); err != nil {
 		return fmt.Errorf("listen for operators: %w", err)
--- a/pkg/router/tokens.go
+++ b/pkg/router/tokens.go
@@ -58,7 +58,7 @@
 	table *member.Table
 	// joined reports whether the other instances are known.
 	joined func() bool
-	// discover makes the instance at an address known.
+	// discover adds the instance at an address, if there is one, to the known ones.
 	discover func(address string)
 }
 
@@ -85,8 +85,9 @@
 func (v fleetView) Discover(address string) { go v.discover(address) }
 
 // maxShareSilence is how long a silent instance still counts among those that share budgets.
-// It is longer than any network partition between all instances that the fleet must survive: at the
-// end of one, each instance finds the others silent and would take the whole share.
+// It is longer than any network partition of all instances that the fleet must survive: at the end
+// of such a partition all others are silent for each instance, which would otherwise take the shares
+// of all.
 const maxShareSilence = 15 * time.Second
 
 // SharesBudgets implements prepaid.Fleet.
@@ -98,8 +99,8 @@
 // instances, a common drawer would save no calls.
 const maxDirectDrawFleet = 2
 
-// How many instances are named as candidates for drawing a shard: the first of the region,
-// others in case it does not answer, and some of this instance's failure domain in case that is
+// Numbers of the instances that are candidates for drawing a shard: the first of the region, others
+// in case that one does not answer, and some of this instance's failure domain in case the domain is
 // partitioned from the others and still reaches the store.
 const (
 	numRegionCandidates = 2
@@ -167,9 +168,9 @@
 	o.log.Event(eventlog.TokensBorrowed, "", eventlog.Fields{"budget": budget, "lender": lender, "tokens": tokens})
 }
 
-func (o tokenLog) DrawerAvoided(drawer string, rest time.Duration, cause error) {
+func (o tokenLog) DrawerAvoided(drawer string, backoff time.Duration, cause error) {
 	o.log.Event(eventlog.DrawerResting, "", eventlog.Fields{
-		"peer": drawer, "rest_ms": rest.Milliseconds(), "cause": cause.Error(),
+		"peer": drawer, "rest_ms": backoff.Milliseconds(), "cause": cause.Error(),
 	})
 }
 
