--- a/pkg/coldlimit/limit.go
+++ b/pkg/coldlimit/limit.go
@@ -2,11 +2,11 @@
 // started, without communication between them.
 //
 // A cold upstream crashes if it receives more than a certain number of requests in any second, whichever
-// instances send them and whether or not these can reach each other. Therefore only a few instances send
-// to it: those ranked first by rendezvous hashing over all instances seen recently, including ones that
-// are silent now. Each of them sends at most a fixed number of requests per second. Instances that know
-// the same names agree on the senders. A side of a partition that knows fewer names has its own senders,
-// which is why the bound is divided by the number of sides that a partition may have.
+// instances send them and whether or not these instances can reach each other. Therefore only a few
+// instances send to it: those ranked first by rendezvous hashing over all instances seen recently,
+// including ones that are silent now. Each of them sends at most a fixed number of requests per second.
+// Instances that know the same names agree on the senders. A side of a partition that knows fewer names
+// has its own senders, which is why the bound is divided by the number of sides that a partition may have.
 package coldlimit
 
 import (
@@ -23,10 +23,10 @@
 const (
 	// maxSides is the maximum number of sides of a partition that know nothing of each other.
 	maxSides = 3
-	// window is slightly longer than the second to which the bound applies, because requests may
-	// arrive closer together than they were sent.
+	// window is the time over which requests are counted. It is slightly longer than the second to
+	// which the bound applies, because requests may arrive closer together than they were sent.
 	window = 1100 * time.Millisecond
-	// nameLifetime is how long an instance that is no longer seen keeps its rank.
+	// nameLifetime is how long an instance that is no longer live keeps its rank.
 	nameLifetime = 10 * time.Minute
 	// maxNames limits the names that are kept. Above it, names of instances that are no longer live
 	// are removed.
@@ -41,7 +41,8 @@
 type Bound struct {
 	// PerSecond is the rate that the upstream states; 0 for no bound.
 	PerSecond float64
-	// Up to Overage times PerSecond, plus Slack, requests may arrive in any second.
+	// Overage and Slack complete the bound: up to PerSecond*Overage + Slack requests may arrive in
+	// any second.
 	Overage, Slack float64
 }
 
@@ -59,15 +60,17 @@
 	liveNames func() []string
 	now       func() time.Time
 
-	// startedAt is when the limit was created. What a previous process of this instance sent is not
-	// known.
+	// startedAt is when the limit was created. Until window has passed since then, nothing is
+	// allowed, because the requests that a previous process of this instance sent are not known.
 	startedAt time.Time
 
 	mu sync.Mutex
-	// lastSeen holds when each name was last among the live instances.
+	// lastSeen holds when each name was last among the live instances; refreshedAt is when the live
+	// instances were last read.
 	lastSeen    map[string]time.Time
 	refreshedAt time.Time
-	sent        map[string][]time.Time
+	// sent holds the times of the requests sent within the window, by upstream.
+	sent map[string][]time.Time
 	// ranks caches this instance's rank among the names in lastSeen, by upstream.
 	ranks map[string]int
 }
