--- a/pkg/overload/limit.go
+++ b/pkg/overload/limit.go
@@ -7,10 +7,10 @@
 // to upstreams time out, each request tries several upstreams, and nearly all requests end after their
 // clients have left.
 //
-// It is detected by the time that connections take. Within a region, this is a few milliseconds. If
-// hardly any connections to many different upstreams are that fast, the cause is what they share, the
-// instance's own link, and not the upstreams. Refusing a request then costs a few hundred bytes, and
-// another instance serves it in time.
+// It is detected by the time that it takes to connect to upstreams: a few milliseconds within a region.
+// If hardly any connections to many different upstreams are that fast, the cause is the link that they
+// share, the instance's own, and not the upstreams. Refusing a request then costs a few hundred bytes,
+// and another instance serves it in time.
 package overload
 
 import (
@@ -22,7 +22,7 @@
 const (
 	// window is the time over which connections are evaluated together.
 	window = 400 * time.Millisecond
-	// maxFastConnect is the maximum time to connect over a link that is not full: several times
+	// maxFastConnect is the maximum time to connect over a link that is not saturated: several times
 	// the round-trip time to the farthest upstream.
 	maxFastConnect = 60 * time.Millisecond
 	// minConnects and minUpstreams are the minimum numbers of connections in a window, and of the
@@ -30,8 +30,8 @@
 	// upstreams are gone: those that disappear together belong to one service or one failure
 	// domain.
 	minConnects, minUpstreams = 8, 5
-	// fastDivisor determines the fraction of connections that are fast if the link is not
-	// overloaded, however many upstreams are gone: more than 1/fastDivisor.
+	// fastDivisor: more than 1/fastDivisor of the connections are fast if the link is not
+	// overloaded, however many upstreams are gone.
 	fastDivisor = 5
 )
 
@@ -41,7 +41,7 @@
 	// decreaseFactor multiplies the limit after an overloaded window, increaseFactor after any
 	// other window.
 	decreaseFactor, increaseFactor = 0.7, 1.15
-	// minLimit is the lowest limit.
+	// minLimit is the lowest limit, in requests.
 	minLimit = 8
 	// liftDelay is the time without an overloaded window after which the limit is lifted.
 	liftDelay = 3 * time.Second
@@ -89,8 +89,9 @@
 	l.inFlight--
 }
 
-// ObserveConnect records how long it took to connect to an upstream, or until the attempt failed. A
-// connection that was refused at once shows as much about the link as one that was established.
+// ObserveConnect records how long it took until a connection to an upstream was established or the
+// attempt failed. A connection that was refused at once shows as much about the link as one that was
+// established.
 func (l *Limit) ObserveConnect(address string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/overload/limit_test.go
+++ b/pkg/overload/limit_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// The upstreams of a failure domain are gone, so half of the connections time out; or all upstreams of
-// a service are. The link is not overloaded, so no request may be refused.
+// Guards against refusals although the link is not overloaded: the upstreams of a failure domain are
+// gone, so half of the connections time out, or all upstreams of a small service are gone.
 func TestUpstreamsThatAreGoneAreNoOverload(t *testing.T) {
 	now := time.Unix(100, 0)
 	l := New(func() time.Time { return now })
@@ -171,7 +171,8 @@
 	}
 }
 
-// A few seconds after the load has ended, the limit must be lifted.
+// Guards against a limit that stays in force after the load has ended: it must be lifted within a few
+// seconds.
 func TestLimitIsLiftedAfterTheLoad(t *testing.T) {
 	now := time.Unix(100, 0)
 	l := New(func() time.Time { return now })
