--- a/pkg/retrylimit/limit.go
+++ b/pkg/retrylimit/limit.go
@@ -37,7 +37,8 @@
 const (
 	// accountShareFactor times an account's share of the requests is its share of the retries.
 	accountShareFactor = 2
-	// minAccountShare is the share of the retries of an account that sends few requests.
+	// minAccountShare is the minimum share of the retries that an account may use, however few
+	// requests it sends.
 	minAccountShare = 0.1
 )
 
@@ -47,7 +48,8 @@
 	instances func() int
 	now       func() time.Time
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// start is when slot 0 began; currentSlot is the number of the slot that counts requests now.
 	start       time.Time
 	currentSlot int64
 	total       slotCounts
@@ -72,7 +74,8 @@
 	l.accountCounts(account).first[l.currentSlot%numSlots]++
 }
 
-// TryRetry reports whether a request of an account may be retried, and counts the retry if so.
+// TryRetry reports whether a request of an account may be retried, and counts the retry if so. An
+// account's first retry in a window is bounded by the retries of the whole service only.
 func (l *Limit) TryRetry(account string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +106,8 @@
 	return own
 }
 
-// advance clears the slots that are older than the window, and removes accounts without requests in it.
+// advance moves to the current slot. It clears the slots whose counts are older than the window, and
+// removes accounts without requests in the window.
 // l.mu must be held.
 func (l *Limit) advance() {
 	slot := int64(l.now().Sub(l.start) / (l.settings.Window / numSlots))
--- a/pkg/retrylimit/limit_test.go
+++ b/pkg/retrylimit/limit_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// A service fails for a while and then recovers. After the window has passed, retries must be allowed
-// again.
+// Guards against retries that stay refused after a service has failed for a while and recovered: once
+// the window has passed, they must be allowed again.
 func TestRepeatsAreAllowedAgain(t *testing.T) {
 	now := time.Unix(0, 0)
 	limit := New(Settings{Ratio: 0.2, Extra: 24, Window: time.Second}, func() int { return 1 }, func() time.Time { return now })
@@ -65,7 +65,8 @@
 	}
 }
 
-// Guards against one account whose requests all fail and that uses up the retries of the others.
+// Guards against one account whose requests all fail and whose retries leave none for the other
+// accounts, whose requests fail occasionally.
 func TestOneAccountDoesNotTakeAllRepeats(t *testing.T) {
 	const accounts, abuser = 40, "abuser"
 	rng := rand.New(rand.NewPCG(8, 8))
@@ -94,7 +95,8 @@
 	}
 }
 
-// An account that is the only one to send requests may use all retries.
+// Guards against a share of the retries that is too small for an account which is the only one to send
+// requests: it may use all retries.
 func TestOnlyAccountHasAllRepeats(t *testing.T) {
 	now := time.Unix(0, 0)
 	limit := New(Settings{Ratio: 0.2, Extra: 0, Window: 10 * time.Second}, func() int { return 9 }, func() time.Time { return now })
