--- a/pkg/coldlimit/limit_test.go
+++ b/pkg/coldlimit/limit_test.go
@@ -24,58 +24,58 @@
 }
 
 func newSimulation(size int, seed uint64) *simulation {
-	h := &simulation{now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), sides: make([]int, size)}
-	h.partition(func(int) int { return 0 })
+	s := &simulation{now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), sides: make([]int, size)}
+	s.partition(func(int) int { return 0 })
 	for n := range size {
-		h.limits = append(h.limits, h.start(n))
+		s.limits = append(s.limits, s.start(n))
 	}
-	h.observe()
-	return h
+	s.observe()
+	return s
 }
 
 // observe makes all instances record which instances are live, as they do regularly.
-func (h *simulation) observe() {
-	for _, l := range h.limits {
+func (s *simulation) observe() {
+	for _, l := range s.limits {
 		l.Observe()
 	}
 }
 
 // start returns the limit of an instance that has just started and knows no other instances yet.
-func (h *simulation) start(n int) *Limit {
-	return New(fmt.Sprint("i", n), func() []string { return h.knownNames(n) }, func() time.Time { return h.now })
+func (s *simulation) start(n int) *Limit {
+	return New(fmt.Sprint("i", n), func() []string { return s.knownNames(n) }, func() time.Time { return s.now })
 }
 
-func (h *simulation) knownNames(n int) []string { return h.namesBySide[h.sides[n]] }
+func (s *simulation) knownNames(n int) []string { return s.namesBySide[s.sides[n]] }
 
 // partition makes the instances know only those on their own side.
-func (h *simulation) partition(sideOf func(n int) int) {
-	h.namesBySide = map[int][]string{}
-	for n := range h.sides {
-		h.sides[n] = sideOf(n)
-		h.namesBySide[h.sides[n]] = append(h.namesBySide[h.sides[n]], fmt.Sprint("i", n))
+func (s *simulation) partition(sideOf func(n int) int) {
+	s.namesBySide = map[int][]string{}
+	for n := range s.sides {
+		s.sides[n] = sideOf(n)
+		s.namesBySide[s.sides[n]] = append(s.namesBySide[s.sides[n]], fmt.Sprint("i", n))
 	}
 }
 
 // run sends requests from randomly chosen instances for a time.
-func (h *simulation) run(duration time.Duration, perSecond int) {
+func (s *simulation) run(duration time.Duration, perSecond int) {
 	pause := time.Second / time.Duration(perSecond)
 	for range int(duration / pause) {
-		h.now = h.now.Add(pause)
-		l := h.limits[h.rng.IntN(len(h.limits))]
+		s.now = s.now.Add(pause)
+		l := s.limits[s.rng.IntN(len(s.limits))]
 		if l.Allows("cold", engineBound) {
 			l.Sent("cold")
-			h.sent = append(h.sent, h.now.Add(time.Duration(h.rng.Int64N(int64(20*time.Millisecond)))))
+			s.sent = append(s.sent, s.now.Add(time.Duration(s.rng.Int64N(int64(20*time.Millisecond)))))
 		}
 	}
 }
 
 // worstSecond returns the maximum number of requests that arrived within a second.
-func (h *simulation) worstSecond() int {
+func (s *simulation) worstSecond() int {
 	worst := 0
-	slices.SortFunc(h.sent, time.Time.Compare)
+	slices.SortFunc(s.sent, time.Time.Compare)
 	first := 0
-	for i, at := range h.sent {
-		for at.Sub(h.sent[first]) >= time.Second {
+	for i, at := range s.sent {
+		for at.Sub(s.sent[first]) >= time.Second {
 			first++
 		}
 		worst = max(worst, i-first+1)
@@ -90,20 +90,20 @@
 	for _, size := range []int{1, 2, 7, 90, 300} {
 		worst := 0
 		for seed := range uint64(20) {
-			h := newSimulation(size, seed)
-			h.run(time.Second, 400)
+			s := newSimulation(size, seed)
+			s.run(time.Second, 400)
 			for range 3 {
-				numSides := 1 + h.rng.IntN(maxSides)
-				h.partition(func(int) int { return h.rng.IntN(numSides) })
-				if h.rng.IntN(2) == 0 {
-					for n := range h.limits {
-						h.limits[n] = h.start(n) // all instances restart and know only their side
+				numSides := 1 + s.rng.IntN(maxSides)
+				s.partition(func(int) int { return s.rng.IntN(numSides) })
+				if s.rng.IntN(2) == 0 {
+					for n := range s.limits {
+						s.limits[n] = s.start(n) // all instances restart and know only their side
 					}
 				}
-				h.observe()
-				h.run(time.Duration(500+h.rng.IntN(1500))*time.Millisecond, 1000)
+				s.observe()
+				s.run(time.Duration(500+s.rng.IntN(1500))*time.Millisecond, 1000)
 			}
-			worst = max(worst, h.worstSecond())
+			worst = max(worst, s.worstSecond())
 		}
 		if worst > engineBound.MaxRequests() {
 			t.Errorf("%d instances: %d requests in a second, %d allowed", size, worst, engineBound.MaxRequests())
@@ -116,10 +116,10 @@
 // all the time.
 func TestColdUpstreamGetsWork(t *testing.T) {
 	for _, size := range []int{1, 7, 90, 300} {
-		h := newSimulation(size, 1)
-		h.run(10*time.Second, 2000)
-		if len(h.sent) < 50 {
-			t.Errorf("%d instances: %d requests in 10 s", size, len(h.sent))
+		s := newSimulation(size, 1)
+		s.run(10*time.Second, 2000)
+		if len(s.sent) < 50 {
+			t.Errorf("%d instances: %d requests in 10 s", size, len(s.sent))
 		}
 	}
 }
@@ -127,12 +127,12 @@
 // Guards against an instance that loses its rank when it is no longer seen: the sides of a partition
 // would then choose different senders.
 func TestSilentInstancesKeepTheirRank(t *testing.T) {
-	h := newSimulation(90, 1)
-	h.run(2*time.Second, 400)
-	h.partition(func(n int) int { return n }) // no instance sees any other
-	before := len(h.sent)
-	h.run(time.Second, 4000)
-	if got := len(h.sent) - before; got > engineBound.MaxRequests()/maxSides+1 {
+	s := newSimulation(90, 1)
+	s.run(2*time.Second, 400)
+	s.partition(func(n int) int { return n }) // no instance sees any other
+	before := len(s.sent)
+	s.run(time.Second, 4000)
+	if got := len(s.sent) - before; got > engineBound.MaxRequests()/maxSides+1 {
 		t.Errorf("%d requests in the second after the partition", got)
 	}
 }
@@ -148,8 +148,8 @@
 }
 
 func BenchmarkAllows(b *testing.B) {
-	h := newSimulation(300, 1)
+	s := newSimulation(300, 1)
 	for b.Loop() {
-		h.limits[0].Allows("cold", engineBound)
+		s.limits[0].Allows("cold", engineBound)
 	}
 }
