--- a/pkg/forward/forwarder.go
+++ b/pkg/forward/forwarder.go
@@ -289,12 +289,12 @@
 	if table := f.Config.Table(); table != nil {
 		fields["config_version"] = table.Config.Version
 	}
-	number := eventlog.RequestRefused
+	event := eventlog.RequestRefused
 	if refusal.Reason == OutcomeUnknown || refusal.Reason == Timeout {
-		number = eventlog.RequestFailed
+		event = eventlog.RequestFailed
 		f.meters.unknown.Inc(1)
 	}
-	f.Log.Event(number, r.ID, fields)
+	f.Log.Event(event, r.ID, fields)
 	client.Refuse(refusal)
 }
 
--- a/pkg/forward/streamtiming.go
+++ b/pkg/forward/streamtiming.go
@@ -14,20 +14,20 @@
 }
 
 // recordEvent records that an event was delivered to a client whose request came at arrived.
-func (p *streamTiming) recordEvent(now, arrived time.Time) {
-	if p.lastEventAt.IsZero() {
-		p.firstEvent = now.Sub(arrived)
+func (t *streamTiming) recordEvent(now, arrived time.Time) {
+	if t.lastEventAt.IsZero() {
+		t.firstEvent = now.Sub(arrived)
 	} else {
-		p.longestPause = max(p.longestPause, now.Sub(p.lastEventAt))
+		t.longestPause = max(t.longestPause, now.Sub(t.lastEventAt))
 	}
-	p.lastEventAt = now
+	t.lastEventAt = now
 }
 
 // addFields adds the timing to the fields of a log event; nothing if no stream event was delivered.
-func (p *streamTiming) addFields(fields eventlog.Fields) {
-	if p.lastEventAt.IsZero() {
+func (t *streamTiming) addFields(fields eventlog.Fields) {
+	if t.lastEventAt.IsZero() {
 		return
 	}
-	fields["first_event_ms"] = p.firstEvent.Milliseconds()
-	fields["longest_pause_ms"] = p.longestPause.Milliseconds()
+	fields["first_event_ms"] = t.firstEvent.Milliseconds()
+	fields["longest_pause_ms"] = t.longestPause.Milliseconds()
 }
