--- a/pkg/router/domains.go
+++ b/pkg/router/domains.go
@@ -10,13 +10,13 @@
 		if age, read := r.followers[copyEmptied].Age(); read {
 			fields["copy_age_ms"] = age.Milliseconds()
 		}
-		number := eventlog.DomainRestored
+		event := eventlog.DomainRestored
 		if change.Emptied {
-			number = eventlog.DomainEmptied
+			event = eventlog.DomainEmptied
 			if sent, ever := r.forward.SinceLastSent(change.Domain); ever {
 				fields["last_sent_ms_ago"] = sent.Milliseconds()
 			}
 		}
-		r.log.Event(number, "", fields)
+		r.log.Event(event, "", fields)
 	}
 }
--- a/pkg/router/tokens.go
+++ b/pkg/router/tokens.go
@@ -22,31 +22,31 @@
 	table  *member.Table
 }
 
-func (l tokenPeers) Lend(ctx context.Context, to, budget string, need, ahead int64) (int64, error) {
-	return l.client.Lend(ctx, to, budget, need, ahead)
+func (p tokenPeers) Lend(ctx context.Context, to, budget string, need, ahead int64) (int64, error) {
+	return p.client.Lend(ctx, to, budget, need, ahead)
 }
 
-func (l tokenPeers) Refill(
+func (p tokenPeers) Refill(
 	ctx context.Context, to string, req *prepaidpb.RefillRequest,
 ) (*prepaidpb.RefillReply, error) {
-	reply, err := l.client.Refill(ctx, to, req)
+	reply, err := p.client.Refill(ctx, to, req)
 	if err == nil && reply.Successor != "" {
 		// In a large fleet, heartbeats would report the successor only seconds later.
-		l.table.NoteSuccessor(to, reply.Successor)
+		p.table.NoteSuccessor(to, reply.Successor)
 	}
 	return reply, err
 }
 
-func (l tokenPeers) Recall(ctx context.Context, to, budget string) error {
-	return l.client.RecallTokens(ctx, to, budget)
+func (p tokenPeers) Recall(ctx context.Context, to, budget string) error {
+	return p.client.RecallTokens(ctx, to, budget)
 }
 
 // Witness implements prepaid.Peers. An instance of a version that does not remember draws counts as a
 // witness; otherwise a fleet could not serve while it is being updated.
-func (l tokenPeers) Witness(
+func (p tokenPeers) Witness(
 	ctx context.Context, to string, req *prepaidpb.WitnessRequest,
 ) (*prepaidpb.WitnessReply, error) {
-	reply, err := l.client.Witness(ctx, to, req)
+	reply, err := p.client.Witness(ctx, to, req)
 	if drpcerr.Code(err) == drpcerr.Unimplemented {
 		return &prepaidpb.WitnessReply{}, nil
 	}
@@ -187,24 +187,24 @@
 // tokenServiceTimeout bounds the work for another instance's request.
 const tokenServiceTimeout = 300 * time.Millisecond
 
-func (l tokenService) Lend(ctx context.Context, req *prepaidpb.LendRequest) (*prepaidpb.LendReply, error) {
+func (s tokenService) Lend(ctx context.Context, req *prepaidpb.LendRequest) (*prepaidpb.LendReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, tokenServiceTimeout)
 	defer cancel()
-	return &prepaidpb.LendReply{Tokens: l.node.Lend(ctx, req.Budget, req.Need, req.Ahead)}, nil
+	return &prepaidpb.LendReply{Tokens: s.node.Lend(ctx, req.Budget, req.Need, req.Ahead)}, nil
 }
 
-func (l tokenService) Refill(ctx context.Context, req *prepaidpb.RefillRequest) (*prepaidpb.RefillReply, error) {
+func (s tokenService) Refill(ctx context.Context, req *prepaidpb.RefillRequest) (*prepaidpb.RefillReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, tokenServiceTimeout)
 	defer cancel()
-	return l.node.Refill(ctx, req), nil
+	return s.node.Refill(ctx, req), nil
 }
 
-func (l tokenService) Witness(_ context.Context, req *prepaidpb.WitnessRequest) (*prepaidpb.WitnessReply, error) {
-	return l.node.Witness(req), nil
+func (s tokenService) Witness(_ context.Context, req *prepaidpb.WitnessRequest) (*prepaidpb.WitnessReply, error) {
+	return s.node.Witness(req), nil
 }
 
-func (l tokenService) Recall(_ context.Context, req *prepaidpb.RecallRequest) (*prepaidpb.RecallReply, error) {
-	l.node.HandleRecall(req.Budget)
+func (s tokenService) Recall(_ context.Context, req *prepaidpb.RecallRequest) (*prepaidpb.RecallReply, error) {
+	s.node.HandleRecall(req.Budget)
 	return &prepaidpb.RecallReply{}, nil
 }
 
