--- a/pkg/prepaid/balance.go
+++ b/pkg/prepaid/balance.go
@@ -16,8 +16,8 @@
 	minDemandWindow = 3 * time.Second
 	// sizeSmoothing is the weight of the newest request in the typical size.
 	sizeSmoothing = 0.1
-	// surplusDivisor: a surplus is returned only if it exceeds 1/surplusDivisor of what should be
-	// held. Tokens that move with each write would serve nobody.
+	// surplusDivisor: a surplus is returned only if it exceeds 1/surplusDivisor of the tokens that
+	// should be held. Tokens that moved with each write would serve no request.
 	surplusDivisor = 4
 )
 
--- a/pkg/prepaid/drawer.go
+++ b/pkg/prepaid/drawer.go
@@ -119,7 +119,7 @@
 	shard int, req *prepaidpb.RefillRequest, waiting *prepaidpb.Demand, err error,
 ) *prepaidpb.RefillReply {
 	if errors.Is(err, ErrBusy) {
-		return &prepaidpb.RefillReply{Busy: true} // another drawer, or a write of the requester's own, would meet the same conflicts
+		return &prepaidpb.RefillReply{Busy: true} // another drawer, or a write by the requester itself, would fail for the same reason
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/prepaid/named.go
+++ b/pkg/prepaid/named.go
@@ -6,13 +6,13 @@
 )
 
 // The ledger object of a shard names its drawer. Instances rank the candidates among the instances
-// that they know. While they know different ones, as after a restart of the whole fleet, several
-// instances write, conflicting writes are retried, and the retries cause more conflicts. This went
-// on long after all instances knew each other (a metastable failure). The object is the same for
-// all instances, and a conflict makes a writer read it. A writer that finds another drawer named
-// there therefore asks that drawer instead of retrying, and only a candidate replaces a drawer that
-// has crashed or does not answer. The name only saves writes: spent tokens were always drawn by a
-// conditional write, no matter who made it.
+// that they know. While they know different instances, as after a restart of the whole fleet,
+// several instances write, conflicting writes are retried, and the retries cause more conflicts.
+// This went on long after all instances knew each other (a metastable failure). The object is the
+// same for all instances, and a conflict makes a writer read it. A writer that finds another drawer
+// named there therefore asks that drawer instead of retrying, and only a candidate replaces a drawer
+// that has crashed or does not answer. The name only saves writes: spent tokens were always drawn by
+// a conditional write, no matter which instance made it.
 
 // minNamedFleet is the smallest fleet in which drawers are named. In a smaller one nearly all
 // instances are candidates, but conflicts are few, and after an outage each draws for itself at
--- a/pkg/prepaid/node.go
+++ b/pkg/prepaid/node.go
@@ -36,7 +36,7 @@
 	recallWait = 40 * time.Millisecond
 	// recallSettleTime is how long a recall takes where instances return tokens to a drawer: two
 	// report intervals. Until then a short budget is not reported as exhausted, which is final for
-	// callers.
+	// clients.
 	recallSettleTime = 1200 * time.Millisecond
 )
 
@@ -357,8 +357,9 @@
 }
 
 // newShortError returns the error for a ledger that answered but had too few tokens. Exhausted is
-// final for the caller, so it is set only if the ledger has too few and the others have returned
-// what they hold: tokens drawn for one request may have been taken by others.
+// final for the client, so it is set only if the ledger has too few and the other instances have
+// returned what they hold. Otherwise other requests may only have taken the tokens drawn for this
+// one.
 func (n *Node) newShortError(budget string, need int64) *ShortError {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/prepaid/refill.go
+++ b/pkg/prepaid/refill.go
@@ -33,8 +33,8 @@
 // errDeclined means that a drawer is stopping or cannot reach the ledger.
 var errDeclined = errors.New("drawer declined")
 
-// ErrTooFew means that the ledger answered and has too few tokens. Unless the error says that the
-// budget is exhausted, other instances have been asked to return what they hold.
+// ErrTooFew means that the ledger answered and has too few tokens. Unless ShortError.Exhausted is
+// set, other instances have been asked to return what they hold.
 var ErrTooFew = errors.New("too few tokens in the ledger")
 
 // drawerState is an instance's state for one drawer that it asks.
--- a/pkg/prepaid/shard.go
+++ b/pkg/prepaid/shard.go
@@ -28,9 +28,9 @@
 // Free returns the tokens that may be drawn; negative after a reduction of Prepaid.
 func (b Budget) Free() int64 { return b.Prepaid - b.Granted }
 
-// Counter counts the tokens that one incarnation moved of one budget. They only grow, so retrying a
-// write after a lost answer changes nothing, and by reading its counter a writer finds out whether
-// such a write took effect.
+// Counter counts the tokens that one incarnation moved of one budget. Both totals only grow, so
+// retrying a write after a lost answer changes nothing, and by reading its counter a writer finds
+// out whether such a write took effect.
 type Counter struct {
 	Drawn    int64 `json:"drawn"`
 	Returned int64 `json:"returned,omitempty"`
@@ -197,8 +197,8 @@
 // lose tokens, but none are spent twice. A writer without a row that cannot have been evicted has
 // never written. When such writers were treated as evicted, an instance that had its tokens from a
 // drawer lost all of them when it returned them at its planned stop.
-func (w Transfer) writeOff() Counter {
-	return Counter{Drawn: w.Known.Drawn, Returned: w.Returned}
+func (t Transfer) writeOff() Counter {
+	return Counter{Drawn: t.Known.Drawn, Returned: t.Returned}
 }
 
 func (s *Shard) applyTransfer(id string, transfer Transfer, counter Counter) Counter {
@@ -228,23 +228,23 @@
 }
 
 // deductFound reduces what is wanted by the tokens that an earlier write has drawn.
-func (w *Transfer) deductFound(tokens int64) {
-	rest := max(tokens-w.Need, 0)
-	w.Need = max(w.Need-tokens, 0)
-	w.Ahead = max(w.Ahead-max(rest-w.More, 0), 0)
-	w.More = max(w.More-rest, 0)
+func (t *Transfer) deductFound(tokens int64) {
+	rest := max(tokens-t.Need, 0)
+	t.Need = max(t.Need-tokens, 0)
+	t.Ahead = max(t.Ahead-max(rest-t.More, 0), 0)
+	t.More = max(t.More-rest, 0)
 }
 
-func (w *Transfer) draw(free int64) int64 {
+func (t *Transfer) draw(free int64) int64 {
 	if free <= 0 {
 		return 0
 	}
-	tokens := w.Need
+	tokens := t.Need
 	if tokens > free {
 		tokens = 0
 	}
-	tokens += min(w.More, free-tokens)
-	return tokens + max(min(w.Ahead, (free-tokens)/max(w.AheadDivisor, 1)), 0)
+	tokens += min(t.More, free-tokens)
+	return tokens + max(min(t.Ahead, (free-tokens)/max(t.AheadDivisor, 1)), 0)
 }
 
 // evictOldestWriter evicts the writer whose last write is oldest if there are too many.
--- a/pkg/prepaid/write.go
+++ b/pkg/prepaid/write.go
@@ -300,8 +300,8 @@
 
 // isNonCandidate reports whether other instances draw a shard for this one. An instance that does
 // not know the others yet counts as such: after a power loss of all 73 instances of a large fleet,
-// each considered itself one of a few, and their attempts kept the store too busy to tell them of
-// each other.
+// each considered itself one of a few, and their attempts kept the store too busy for them to
+// discover each other through it.
 func (n *Node) isNonCandidate(shard int) bool {
 	if !n.Fleet.Joined() {
 		return true
