--- a/pkg/follow/lost_test.go
+++ b/pkg/follow/lost_test.go
@@ -123,19 +123,19 @@
 	version store.Position
 }
 
-func (n *versionRecorder) Replace(list store.Listing)  { n.record(list.Position) }
-func (n *versionRecorder) Apply(changes store.Changes) { n.record(changes.Position) }
+func (r *versionRecorder) Replace(list store.Listing)  { r.record(list.Position) }
+func (r *versionRecorder) Apply(changes store.Changes) { r.record(changes.Position) }
 
-func (n *versionRecorder) record(version store.Position) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.version = store.Later(n.version, version)
+func (r *versionRecorder) record(version store.Position) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.version = store.Later(r.version, version)
 }
 
-func (n *versionRecorder) get() store.Position {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.version
+func (r *versionRecorder) get() store.Position {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.version
 }
 
 // Guards against a follower that waits for a lost answer. When the store loses its answers for six
