--- a/pkg/prepaid/fleet_start_test.go
+++ b/pkg/prepaid/fleet_start_test.go
@@ -22,9 +22,10 @@
 	// requestInterval is the interval of each instance's requests, requestTokens their size.
 	requestInterval = 200 * time.Millisecond
 	requestTokens   = 300
-	// maxCollisionTime is how long conflicts may go on after the last crash.
+	// maxCollisionTime is how long conflicts may go on after the last event that causes them, the
+	// start or a crash.
 	maxCollisionTime = 2 * time.Second
-	// candidates is the number of instances that may draw for all, and the number of further ones in
+	// candidates is the number of instances that may draw for all, and of those that may draw for
 	// each domain.
 	candidates = 2
 	domains    = 5
@@ -374,10 +375,10 @@
 }
 
 // For some seconds each of many instances assumes that the few it knows are the whole fleet, so most
-// of them choose themselves or another instance that they know as the drawer. By rank alone, each of
-// these drawers would go on writing, with conflicts, until the last one has learned of the first.
-// The ledger object is the same for all: an instance that finds another drawer named there asks that
-// one.
+// of them choose themselves or another instance that they know as the drawer. Nothing shows them that
+// this is wrong: by rank alone, each of these drawers would go on writing, with conflicts, until the
+// last one has learned of the first. The ledger object is the same for all: an instance that finds
+// another drawer named there asks that one.
 func TestDrawersThatDoNotKnowEachOtherGiveWay(t *testing.T) {
 	const length, settled = 8, 2
 	for _, size := range []int{7, 73, 295} {
--- a/pkg/prepaid/recovery.go
+++ b/pkg/prepaid/recovery.go
@@ -162,7 +162,7 @@
 func (r *recovery) needsWrite() bool { return r.reportEra != 0 || r.unsettled }
 
 // eras returns the object's era as unsettled while the object waits for reports, or as settled once
-// it can be drawn from. The other result is 0.
+// it can be drawn from. A result that does not apply is 0.
 func (r *recovery) eras() (unsettled, settled uint64) {
 	switch {
 	case r.unsettled:
