--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// handleOutageEnd records that another instance reported the end of a store outage, some time ago.
-// This instance may not have noticed the outage, since it does not call the store itself. Each end
-// is reported several times and counts once.
+// handleOutageEnd records the end of a store outage, the given time ago, that another instance
+// reported. This instance may not have noticed the outage, since it does not call the store itself.
+// Each end is reported several times and counts once.
 func (f *Follower) handleOutageEnd(ago time.Duration) {
 	if f.fresh.recordOutageEnd(ago) && f.OnOutageEnded != nil {
 		f.OnOutageEnded(ago)
