--- a/pkg/follow/lost_test.go
+++ b/pkg/follow/lost_test.go
@@ -25,7 +25,7 @@
 )
 
 // lossyStore is a store of one kind in virtual time. While it loses answers it accepts every call
-// and answers none, also later; connections stay up meanwhile.
+// and never answers it, not even afterwards; connections stay up meanwhile.
 type lossyStore struct {
 	store.Store
 	answerTime time.Duration
@@ -123,25 +123,25 @@
 	version store.Position
 }
 
-func (n *versionRecorder) Replace(list store.Listing)  { n.record(list.Position) }
-func (n *versionRecorder) Apply(changes store.Changes) { n.record(changes.Position) }
+func (r *versionRecorder) Replace(list store.Listing)  { r.record(list.Position) }
+func (r *versionRecorder) Apply(changes store.Changes) { r.record(changes.Position) }
 
-func (n *versionRecorder) record(version store.Position) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.version = store.Later(n.version, version)
+func (r *versionRecorder) record(version store.Position) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.version = store.Later(r.version, version)
 }
 
-func (n *versionRecorder) get() store.Position {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.version
+func (r *versionRecorder) get() store.Position {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.version
 }
 
 // Guards against a follower that waits for a lost answer. When the store loses its answers for six
 // seconds, a watch sent during that time, or ended by a change during it, is never answered. The
 // connection stays up and keep-alive probes detect nothing, so the follower waited 32 s without
-// another call, twenty of them after the store had recovered; a client was served by a route
+// another call, 20 s of them after the store had recovered. Meanwhile a client was served by a route
 // dropped 2.6 s before, and an upstream that had left still got requests.
 func TestLostAnswerHidesNoChange(t *testing.T) {
 	cases := []struct {
--- a/pkg/prepaid/named.go
+++ b/pkg/prepaid/named.go
@@ -6,23 +6,24 @@
 )
 
 // The ledger object of a shard names its drawer. Instances rank the candidates among the instances
-// that they know. While they know different ones, as after a restart of the whole fleet, several
-// instances write, conflicting writes are retried, and the retries cause more conflicts. This went
-// on long after all instances knew each other (a metastable failure). The object is the same for
-// all instances, and a conflict makes a writer read it. A writer that finds another drawer named
-// there therefore asks that drawer instead of retrying, and only a candidate replaces a drawer that
-// has crashed or does not answer. The name only saves writes: spent tokens were always drawn by a
-// conditional write, no matter who made it.
+// that they know. While they know different instances, as after a restart of the whole fleet,
+// several instances write, conflicting writes are retried, and the retries cause more conflicts.
+// This went on long after all instances knew each other (a metastable failure). The object is the
+// same for all instances, and a conflict makes a writer read it. A writer that finds another drawer
+// named there therefore asks that drawer instead of retrying, and only a candidate replaces a drawer
+// that has crashed or does not answer. The name only saves writes: spent tokens were always drawn by
+// a conditional write, no matter which instance made it.
 
 // minNamedFleet is the smallest fleet in which drawers are named. In a smaller one nearly all
 // instances are candidates, but conflicts are few, and after an outage each draws for itself at
-// once instead of waiting some seconds until a drawer deals tokens out: on a day with three outages
+// once instead of waiting some seconds until a drawer grants tokens: on a day with three outages
 // in a row (two seeds), seven instances refused 13.6 in 100 requests with a named drawer
 // and 10.9 without.
 const minNamedFleet = 16
 
-// claimDrawer names this instance as the shard's drawer before it writes, if it may take that
-// place. Errors: *DrawnElsewhereError.
+// claimDrawer names this instance in the shard as its drawer before a write, if this instance is a
+// candidate. It fails if the drawer named there already is to be asked instead. Errors:
+// *DrawnElsewhereError.
 func (n *Node) claimDrawer(shard int, s *Shard) error {
 	candidates := n.Fleet.Drawers(shard)
 	// An instance that knows few others still sees from the holders in the object that there are
--- a/pkg/router/tokens.go
+++ b/pkg/router/tokens.go
@@ -22,31 +22,31 @@
 	table  *member.Table
 }
 
-func (l tokenPeers) Lend(ctx context.Context, to, budget string, need, ahead int64) (int64, error) {
-	return l.client.Lend(ctx, to, budget, need, ahead)
+func (p tokenPeers) Lend(ctx context.Context, to, budget string, need, ahead int64) (int64, error) {
+	return p.client.Lend(ctx, to, budget, need, ahead)
 }
 
-func (l tokenPeers) Refill(
+func (p tokenPeers) Refill(
 	ctx context.Context, to string, req *prepaidpb.RefillRequest,
 ) (*prepaidpb.RefillReply, error) {
-	reply, err := l.client.Refill(ctx, to, req)
+	reply, err := p.client.Refill(ctx, to, req)
 	if err == nil && reply.Successor != "" {
 		// In a large fleet, heartbeats would report the successor only seconds later.
-		l.table.NoteSuccessor(to, reply.Successor)
+		p.table.NoteSuccessor(to, reply.Successor)
 	}
 	return reply, err
 }
 
-func (l tokenPeers) Recall(ctx context.Context, to, budget string) error {
-	return l.client.RecallTokens(ctx, to, budget)
+func (p tokenPeers) Recall(ctx context.Context, to, budget string) error {
+	return p.client.RecallTokens(ctx, to, budget)
 }
 
 // Witness implements prepaid.Peers. An instance of a version that does not remember draws counts as a
 // witness; otherwise a fleet could not serve while it is being updated.
-func (l tokenPeers) Witness(
+func (p tokenPeers) Witness(
 	ctx context.Context, to string, req *prepaidpb.WitnessRequest,
 ) (*prepaidpb.WitnessReply, error) {
-	reply, err := l.client.Witness(ctx, to, req)
+	reply, err := p.client.Witness(ctx, to, req)
 	if drpcerr.Code(err) == drpcerr.Unimplemented {
 		return &prepaidpb.WitnessReply{}, nil
 	}
@@ -58,7 +58,7 @@
 	table *member.Table
 	// joined reports whether the other instances are known.
 	joined func() bool
-	// discover makes the instance at an address known.
+	// discover adds the instance at an address, if there is one, to the known ones.
 	discover func(address string)
 }
 
@@ -85,8 +85,9 @@
 func (v fleetView) Discover(address string) { go v.discover(address) }
 
 // maxShareSilence is how long a silent instance still counts among those that share budgets.
-// It is longer than any network partition between all instances that the fleet must survive: at the
-// end of one, each instance finds the others silent and would take the whole share.
+// It is longer than any network partition of all instances that the fleet must survive: at the end
+// of such a partition all others are silent for each instance, which would otherwise take the shares
+// of all.
 const maxShareSilence = 15 * time.Second
 
 // SharesBudgets implements prepaid.Fleet.
@@ -98,8 +99,8 @@
 // instances, a common drawer would save no calls.
 const maxDirectDrawFleet = 2
 
-// How many instances are named as candidates for drawing a shard: the first of the region,
-// others in case it does not answer, and some of this instance's failure domain in case that is
+// Numbers of the instances that are candidates for drawing a shard: the first of the region, others
+// in case that one does not answer, and some of this instance's failure domain in case the domain is
 // partitioned from the others and still reaches the store.
 const (
 	numRegionCandidates = 2
@@ -167,9 +168,9 @@
 	o.log.Event(eventlog.TokensBorrowed, "", eventlog.Fields{"budget": budget, "lender": lender, "tokens": tokens})
 }
 
-func (o tokenLog) DrawerAvoided(drawer string, rest time.Duration, cause error) {
+func (o tokenLog) DrawerAvoided(drawer string, backoff time.Duration, cause error) {
 	o.log.Event(eventlog.DrawerResting, "", eventlog.Fields{
-		"peer": drawer, "rest_ms": rest.Milliseconds(), "cause": cause.Error(),
+		"peer": drawer, "rest_ms": backoff.Milliseconds(), "cause": cause.Error(),
 	})
 }
 
@@ -186,24 +187,24 @@
 // tokenServiceTimeout bounds the work for another instance's request.
 const tokenServiceTimeout = 300 * time.Millisecond
 
-func (l tokenService) Lend(ctx context.Context, req *prepaidpb.LendRequest) (*prepaidpb.LendReply, error) {
+func (s tokenService) Lend(ctx context.Context, req *prepaidpb.LendRequest) (*prepaidpb.LendReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, tokenServiceTimeout)
 	defer cancel()
-	return &prepaidpb.LendReply{Tokens: l.node.Lend(ctx, req.Budget, req.Need, req.Ahead)}, nil
+	return &prepaidpb.LendReply{Tokens: s.node.Lend(ctx, req.Budget, req.Need, req.Ahead)}, nil
 }
 
-func (l tokenService) Refill(ctx context.Context, req *prepaidpb.RefillRequest) (*prepaidpb.RefillReply, error) {
+func (s tokenService) Refill(ctx context.Context, req *prepaidpb.RefillRequest) (*prepaidpb.RefillReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, tokenServiceTimeout)
 	defer cancel()
-	return l.node.Refill(ctx, req), nil
+	return s.node.Refill(ctx, req), nil
 }
 
-func (l tokenService) Witness(_ context.Context, req *prepaidpb.WitnessRequest) (*prepaidpb.WitnessReply, error) {
-	return l.node.Witness(req), nil
+func (s tokenService) Witness(_ context.Context, req *prepaidpb.WitnessRequest) (*prepaidpb.WitnessReply, error) {
+	return s.node.Witness(req), nil
 }
 
-func (l tokenService) Recall(_ context.Context, req *prepaidpb.RecallRequest) (*prepaidpb.RecallReply, error) {
-	l.node.HandleRecall(req.Budget)
+func (s tokenService) Recall(_ context.Context, req *prepaidpb.RecallRequest) (*prepaidpb.RecallReply, error) {
+	s.node.HandleRecall(req.Budget)
 	return &prepaidpb.RecallReply{}, nil
 }
 
