--- a/pkg/entry/crash.go
+++ b/pkg/entry/crash.go
@@ -16,7 +16,8 @@
 	"github.com/lavenderring/lavenderring/pkg/upstream"
 )
 
-// trialRetryAfter applies to a suspected request that is refused while an equal one is running.
+// trialRetryAfter is the Retry-After of a suspected request that is refused because an equal one is
+// running.
 const trialRetryAfter = time.Second
 
 // errNotInService means that the upstream began to leave, or its failure domain was emptied, before
@@ -74,9 +75,9 @@
 	startedAt time.Time
 }
 
-// startRunAt records to which upstream, in its last known incarnation, the run is sent. A request
-// that crashed an upstream, or may have, is sent only if the upstream answers a query for its
-// incarnation now, also if the answer names none. No request is sent to an upstream that is not in
+// startRunAt records the upstream that the run is sent to, and the upstream's last known incarnation.
+// A request that crashed an upstream, or may have, is sent only if the upstream answers a query for
+// its incarnation now; the answer need not name one. No request is sent to an upstream that is not in
 // service any more. Errors: *upstream.CallError with the step "dial", as nothing has been sent.
 func (e *Entry) startRunAt(ctx context.Context, r quarantine.Run, lease *dispatch.Lease) (upstreamRun, error) {
 	address := lease.Upstream.Address
--- a/pkg/entry/idempotency.go
+++ b/pkg/entry/idempotency.go
@@ -82,9 +82,9 @@
 	e.Claims.Finish(e.background, key, r.id, result, answer)
 }
 
-// answerFromClaim answers a retry with the recorded answer, for which it waits
-// while the first request is in progress, or else with what is known of the
-// outcome.
+// answerFromClaim answers a retry with the recorded answer of the first request.
+// While that request is in progress, it waits for the answer. If there is no
+// answer to return, the Problem states the known outcome of the first request.
 func (e *Entry) answerFromClaim(
 	ctx context.Context, r *request, key, fingerprint string, existing *claim.Claim,
 ) *Problem {
--- a/pkg/entry/incarnation.go
+++ b/pkg/entry/incarnation.go
@@ -13,6 +13,7 @@
 
 // Timing and bounds of the queries for the incarnations of upstreams.
 const (
+	// incarnationInterval is the wait between rounds of queries; incarnationTimeout bounds one query.
 	incarnationInterval = 100 * time.Millisecond
 	incarnationTimeout  = 300 * time.Millisecond
 	// incarnationRetryInterval is the wait before an upstream is queried again that answered without
@@ -22,8 +23,8 @@
 	maxIncarnationQueries = 16
 )
 
-// incarnations holds the last known incarnation, one process of an upstream, at each upstream's
-// address. The zero value is empty.
+// incarnations holds, by address, the last known incarnation of each upstream. An incarnation is one
+// process that serves at the address. The zero value is empty.
 type incarnations struct {
 	mu        sync.Mutex
 	byAddress map[string]string
@@ -34,8 +35,8 @@
 }
 
 // recordQuery records whether a query for an upstream's incarnation failed. It reports whether this is
-// the first failure since a query succeeded. A failed query is retried without
-// incarnationRetryInterval.
+// the first failure since a query succeeded. After a failure the upstream is due for a query again at
+// once, without the wait of incarnationRetryInterval.
 func (i *incarnations) recordQuery(address string, failed bool) (newlyFailing bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -115,9 +116,9 @@
 	return ""
 }
 
-// PollIncarnations queries upstreams for their incarnation until ctx ends: those whose incarnation is
-// not known, and those of which it is undecided whether they crashed when a connection ended before a
-// whole answer.
+// PollIncarnations queries upstreams for their incarnation until ctx ends. It queries those whose
+// incarnation is not known. It also queries those to which a connection ended before a whole answer,
+// while it is undecided whether they crashed.
 func (e *Entry) PollIncarnations(ctx context.Context) {
 	for pause.For(ctx, incarnationInterval) {
 		var round sync.WaitGroup
--- a/pkg/entry/retry.go
+++ b/pkg/entry/retry.go
@@ -19,7 +19,8 @@
 	saved float64
 }
 
-// deposit is called for each request dispatched for the first time.
+// deposit adds one request's part to the budget. It is called once for each
+// request, before its first dispatch.
 func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
