--- a/pkg/routing/config.go
+++ b/pkg/routing/config.go
@@ -75,9 +75,8 @@
 	MaxConnections int `json:"max_connections"`
 	// Engine describes model engines; nil for plain services.
 	Engine *Engine `json:"engine,omitempty"`
-	// ColdPerSecond is the number of requests in a second, from all instances together, that an upstream
-	// survives while it is cold, that is, has just started; 0 for no bound. ColdDuration is how long it
-	// is cold.
+	// ColdPerSecond is the number of requests a second, from all instances together, that a cold upstream
+	// survives; 0 for no bound. An upstream is cold for ColdDuration after its start.
 	ColdPerSecond float64       `json:"cold_per_second,omitempty"`
 	ColdDuration  time.Duration `json:"cold_for,omitempty"`
 }
