--- a/pkg/store/storefake/store.go
+++ b/pkg/store/storefake/store.go
@@ -22,7 +22,7 @@
 	rng     *rand.Rand
 	objects map[string]store.Object
 	version store.Version
-	// era is the store's era; snapshots holds the contents before each write.
+	// era increases with each RollBack; snapshots holds the contents before each write.
 	era       store.Era
 	snapshots []snapshot
 	// down makes every call fail without effect.
--- a/pkg/store/update.go
+++ b/pkg/store/update.go
@@ -40,8 +40,8 @@
 // Update applies modify by conditional writes until one takes effect, at most
 // updateMaxAttempts times. It returns nil if modify returns ErrUnchanged, and
 // returns modify's other errors as they are. After a write whose outcome is
-// uncertain the object is read again, and modify either finds its own mark in it
-// or not.
+// uncertain it reads the object again and calls modify, which recognises by its
+// own mark in the value whether the write took effect.
 func Update(ctx context.Context, s Store, key string, modify Modify) error {
 	read := func(ctx context.Context) (Object, error) {
 		object, err := s.Get(ctx, key)
@@ -101,9 +101,9 @@
 	return u.read(ctx)
 }
 
-// retryable marks all errors as permanent that another attempt is unlikely to
-// resolve. An unreachable store is reported at once, so that callers can work
-// without it.
+// retryable marks an error as permanent unless another attempt is likely to
+// succeed. The error of an unreachable store is permanent, so that callers learn
+// of it at once and can work without the store.
 func retryable(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
