--- a/pkg/bill/journal.go
+++ b/pkg/bill/journal.go
@@ -19,12 +19,12 @@
 
 // Outcomes of a record.
 const (
-	// OutcomeOpen is that of a request in progress; its tokens are the maximum
+	// OutcomeOpen is the outcome of a request in progress; its tokens are the maximum
 	// that it may cost.
 	OutcomeOpen = "open"
-	// OutcomeRan is that of a request that was answered whole.
+	// OutcomeRan is the outcome of a request that was answered whole.
 	OutcomeRan = "ran"
-	// OutcomeUnknown is that of a request without a whole answer; its tokens are
+	// OutcomeUnknown is the outcome of a request without a whole answer; its tokens are
 	// the cost that the upstream reported, or the maximum if it reported none.
 	OutcomeUnknown = "unknown"
 )
@@ -105,8 +105,8 @@
 const (
 	// copyWaitTimeout bounds the wait of one request for its record's copy.
 	copyWaitTimeout = 300 * time.Millisecond
-	// copyRetryInterval is how long after a failed copy no request waits for
-	// another one.
+	// copyRetryInterval is the time after a failed copy during which no request
+	// waits for the next copy.
 	copyRetryInterval = time.Second
 )
 
@@ -175,7 +175,7 @@
 	return j.copyLocked(ctx)
 }
 
-// copyLocked is Copy; j.copyMu is held.
+// copyLocked implements Copy. The caller holds j.copyMu.
 func (j *Journal) copyLocked(ctx context.Context) error {
 	peer := j.currentPeer()
 	if peer == "" {
@@ -245,8 +245,8 @@
 	return err
 }
 
-// removeWritten removes from the pending records those of tried that were
-// written, which are the first ones: all but the last len(rest). j.mu is held.
+// removeWritten removes from the pending records those that were written: all of
+// tried except the last len(rest). The caller holds j.mu.
 func (j *Journal) removeWritten(tried, rest []*billpb.Record) {
 	written := len(tried) - len(rest)
 	if written == 0 {
@@ -261,10 +261,10 @@
 
 // writeSegments creates segments from number next on until every record is in
 // one. It returns the number after the last segment and the records that were not
-// written. If a segment exists already, either an earlier write of this writer
-// took effect although its answer was lost, or the other of the instance and its
-// peer wrote it, the peer because it took the instance for crashed; in both cases
-// the records in it are durable.
+// written. If a segment exists already, the records in it are durable: either an
+// earlier write of this writer took effect although its answer was lost, or the
+// other writer created it. The writers are the instance and, if the peer takes the
+// instance for crashed, the peer.
 func writeSegments(
 	ctx context.Context, target store.Store, incarnation string, next uint64, records []*billpb.Record,
 ) (uint64, []*billpb.Record, error) {
