--- a/pkg/door/door.go
+++ b/pkg/door/door.go
@@ -21,8 +21,8 @@
 // maxBodyBytes bounds a body before the configuration's own limit is checked.
 const maxBodyBytes = 16 << 20
 
-// stoppingRetryAfter is when a client may retry whose request reached an instance just before it
-// closes its connections: almost at once, since the load balancer sends the request elsewhere.
+// stoppingRetryAfter is the Retry-After of a request that reaches an instance just before the instance
+// closes its connections. It is short, since the load balancer sends the retry to another instance.
 const stoppingRetryAfter = 50 * time.Millisecond
 
 // Format decodes requests and encodes refusals in the platform's format.
@@ -119,8 +119,8 @@
 	return c.Conn.Close()
 }
 
-// overloaded reports whether other instances can serve clients better. A client that kept its connection
-// would send each request to this instance.
+// overloaded reports whether other instances can serve clients better. The connection is then closed after
+// the answer: a client that kept it would send each request to this instance.
 func (s *Server) overloaded() bool { return s.opts.Overloaded != nil && s.opts.Overloaded() }
 
 func (s *Server) trackConn(conn net.Conn) net.Conn {
