--- a/pkg/instance/era.go
+++ b/pkg/instance/era.go
@@ -9,7 +9,7 @@
 	"github.com/lavenderring/lavenderring/pkg/store"
 )
 
-// noteEra handles what an answer of the store reported of the store's era.
+// noteEra handles a later era, or a fault in the era, that an answer of the store contained.
 func (i *Instance) noteEra(update store.EraEvent) {
 	if update.Err != nil {
 		i.log.Event(eventlog.StoreEraFault, "", eventlog.Fields{"era": update.To, "cause": update.Err.Error()})
