--- a/pkg/httpserve/httpserve.go
+++ b/pkg/httpserve/httpserve.go
@@ -130,11 +130,11 @@
 const abortTimeout = 100 * time.Millisecond
 
 // Abort closes a request's connection and waits until the library has stopped
-// reading from it. ctx is the context of the handler, of a server with
-// CancelOnDisconnect. If a response cannot be completed, the library releases the
-// connection's buffers for reuse while its reader may still fill them, and bytes of
-// one client could end up in the request of another. The reader cancels ctx as its
-// last action.
+// reading from it. Without the wait, the library releases the connection's buffers
+// for reuse while its reader may still fill them, if a response cannot be
+// completed; bytes of one client could then end up in the request of another. ctx
+// is the context of the request's handler. The server must have been started with
+// CancelOnDisconnect: its reader cancels ctx as its last action.
 func Abort(ctx context.Context, c *app.RequestContext) {
 	_ = c.GetConn().Close()
 	select {
