--- a/pkg/tokens/tokens.go
+++ b/pkg/tokens/tokens.go
@@ -16,9 +16,9 @@
 type MemberFleet struct{ Table *member.Table }
 
 // Holders implements budget.Fleet. It returns, for each failure domain, the
-// instance that ranks first for the shard. Few holders keep a budget's last
-// tokens in few places, and the number of grants grows with the number of
-// failure domains rather than with the size of the fleet.
+// instance that ranks first for the shard. With so few holders, the last tokens
+// of a budget are spread over few instances, and the number of grants grows with
+// the number of failure domains rather than with the size of the fleet.
 func (v MemberFleet) Holders(shard int) []string {
 	winners := v.Table.WinnersByDomain(ledger.ObjectKey(shard))
 	out := make([]string, 0, len(winners))
