--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -39,7 +39,7 @@
 			}
 			text := err.Error()
 			if !strings.Contains(text, "i.toml: "+c.key) || !strings.Contains(text, "allowed is") {
-				t.Errorf("%q does not name file, key and what is allowed", text)
+				t.Errorf("%q does not name the file, the key and the allowed values", text)
 			}
 		})
 	}
