--- a/pkg/operator/domains.go
+++ b/pkg/operator/domains.go
@@ -47,8 +47,8 @@
 		if slices.Equal(before, e.Domains) {
 			return nil, store.ErrUnchanged
 		}
-		// Higher than every generation written before, even if the store has been rolled
-		// back since and lost it.
+		// The generation is higher than every one written before, even if a rollback of
+		// the store has lost the last writes.
 		e.Generation = max(e.Generation+1, uint64(time.Now().UnixMilli()))
 		return json.Marshal(e)
 	})
--- a/pkg/operator/quarantine.go
+++ b/pkg/operator/quarantine.go
@@ -28,7 +28,7 @@
 	return printQuarantine(out, body, views, asJSON)
 }
 
-// ShowQuarantined prints one such request.
+// ShowQuarantined prints one request that an instance suspects or no longer runs.
 func ShowQuarantined(ctx context.Context, out io.Writer, admin AdminClient, id string, asJSON bool) error {
 	body, err := admin.call(ctx, consts.MethodGet, "quarantine?id="+url.QueryEscape(id))
 	if err != nil {
