--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -108,7 +108,7 @@
 }
 
 // Load reads and checks a settings file. The error is an *InvalidError with all
-// faults, or wraps that of reading the file.
+// faults, or wraps the error of reading the file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
