--- a/pkg/door/door_test.go
+++ b/pkg/door/door_test.go
@@ -61,6 +61,6 @@
 		statuses = append(statuses, resp.StatusCode)
 	}
 	if statuses[0] != http.StatusOK || statuses[1] != http.StatusServiceUnavailable || pipeline.numPassed != 1 {
-		t.Errorf("statuses %v, %d requests passed to the pipeline", statuses, pipeline.numPassed)
+		t.Errorf("statuses %v, want 200 and then 503; %d requests passed to the pipeline, want 1", statuses, pipeline.numPassed)
 	}
 }
