--- a/pkg/httpconn/prober_test.go
+++ b/pkg/httpconn/prober_test.go
@@ -17,7 +17,7 @@
 	pool := NewPool(time.Now)
 	prober := NewPeerProber(pool, func() time.Time { return now })
 	if state := prober.Probe(address); state != Answering {
-		t.Errorf("state of a listening peer is %q", state)
+		t.Errorf("state of a listening peer is %q, want %q", state, Answering)
 	}
 	if pool.Get(address) == nil {
 		t.Error("the probe's connection was not put into the pool")
