--- a/pkg/httpconn/prober.go
+++ b/pkg/httpconn/prober.go
@@ -23,9 +23,9 @@
 
 // States of a peer.
 const (
-	// Crashed peers refuse connections: nothing listens at the address any more.
+	// Crashed is the state of a peer that refuses connections: nothing listens at the address any more.
 	Crashed PeerState = "crashed"
-	// Answering peers accept connections: only the one connection ended.
+	// Answering is the state of a peer that accepts connections: only the one connection ended.
 	Answering PeerState = "answers"
 	// SilentPeer is the state of a peer that neither accepted nor refused a connection in time.
 	SilentPeer PeerState = "silent"
--- a/pkg/httpconn/prober_test.go
+++ b/pkg/httpconn/prober_test.go
@@ -30,6 +30,6 @@
 	}
 	now = now.Add(probeResultLifetime)
 	if state := prober.Probe(address); state != Crashed {
-		t.Errorf("state of a peer that refuses connections is %q", state)
+		t.Errorf("state of a peer that refuses connections is %q, want %q", state, Crashed)
 	}
 }
