--- a/pkg/life/life_test.go
+++ b/pkg/life/life_test.go
@@ -13,7 +13,7 @@
 	l.Stop()
 	l.Done()
 	if l.State() != Stopped {
-		t.Errorf("state after the stop is %s", l.State())
+		t.Errorf("state after the stop is %s, want stopped", l.State())
 	}
 }
 
