--- a/pkg/document/document_test.go
+++ b/pkg/document/document_test.go
@@ -48,7 +48,7 @@
 			}
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("Parse returned %v, want an *InvalidError", err)
 			}
 			for _, key := range c.keys {
 				if !strings.Contains(err.Error(), key) {
@@ -79,7 +79,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		doc, err := Parse(text)
 		if (doc == nil) == (err == nil) {
-			t.Errorf("document %v, error %v", doc, err)
+			t.Errorf("Parse returned document %v and error %v, want exactly one of them", doc, err)
 		}
 	})
 }
