--- a/pkg/soak/crashing.go
+++ b/pkg/soak/crashing.go
@@ -15,11 +15,12 @@
 
 // Parameters of requests that crash the upstreams that run them.
 const (
-	// One of crashingDivisor runs has such requests, at most maxCrashingRequests.
+	// One of crashingDivisor runs has crashing requests, at most maxCrashingRequests.
 	crashingDivisor, maxCrashingRequests = 3, 3
-	// crashMarker is contained in their bodies.
+	// crashMarker is contained in the body of every crashing request.
 	crashMarker = "ends what runs it"
-	// minCrashingInterval and maxCrashingInterval bound the pause between two sends of one of them.
+	// minCrashingInterval and maxCrashingInterval bound the pause between two sends of one
+	// crashing request.
 	minCrashingInterval, maxCrashingInterval = 50 * time.Millisecond, 400 * time.Millisecond
 	// upstreamDowntime is how long a crashed upstream is down.
 	upstreamDowntime = 700 * time.Millisecond
@@ -39,7 +40,7 @@
 	crashes []time.Time
 }
 
-// newCrashingRequests draws them from a random sequence of their own, so that the other faults of a
+// newCrashingRequests draws the crashing requests of a run from a random sequence of their own, so that the other faults of a
 // seed stay the same.
 func newCrashingRequests(seed uint64) []*crashingRequest {
 	rng := rand.New(rand.NewPCG(seed, 2))
@@ -88,8 +89,8 @@
 	}
 }
 
-// crashBetween reports whether an upstream crashed in a period: whatever ran there is cut off, and its
-// instance cannot prevent that.
+// crashBetween reports whether an upstream crashed in a period: the requests that ran there are cut
+// off, and their instances cannot prevent that.
 func (r *runner) crashBetween(from, to time.Time) bool {
 	for _, f := range r.crashing {
 		f.mu.Lock()
--- a/pkg/soak/emptied.go
+++ b/pkg/soak/emptied.go
@@ -27,7 +27,7 @@
 	domain          string
 }
 
-// newEmptyings draws them from a random sequence of their own, so that the other faults of a seed stay
+// newEmptyings draws the emptyings of a run from a random sequence of their own, so that the other faults of a seed stay
 // the same.
 func newEmptyings(seed uint64, length time.Duration) []emptying {
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -46,7 +46,7 @@
 }
 
 // emptyDomain empties a domain, checks that no request reaches it once every instance must have applied
-// that, and restores it with cold upstreams.
+// the change, and restores it with cold upstreams.
 func (r *runner) emptyDomain(ctx context.Context, e emptying) {
 	if !pause.For(ctx, e.start) {
 		return
--- a/pkg/soak/inject.go
+++ b/pkg/soak/inject.go
@@ -23,7 +23,7 @@
 	// drainDuration is how long an upstream serves after it was announced as leaving; after
 	// that, no new request may reach it.
 	drainDuration = 2500 * time.Millisecond
-	// lingerDuration is how long it runs after its entry was withdrawn.
+	// lingerDuration is how long a leaving upstream runs after its entry was withdrawn.
 	lingerDuration = time.Second
 )
 
@@ -93,8 +93,8 @@
 	}
 }
 
-// restartAll kills all instances at once and restarts them together: no instance is left to
-// learn from, and all need the store.
+// restartAll kills all instances at once and restarts them together: none can fetch its copies
+// from another, and all need the store.
 func (r *runner) restartAll(delay time.Duration) {
 	var restarting sync.WaitGroup
 	for _, i := range r.fleet.instances {
