--- a/pkg/experiment/scenario.go
+++ b/pkg/experiment/scenario.go
@@ -60,7 +60,8 @@
 func isFirst(_ *simulation, instance int) bool     { return instance == 0 }
 
 // setPartition starts or ends the partition of the fleet at the bounds of the fault window. It cuts
-// the links from the instances of a side to the others, and with both set also those back.
+// the links from the instances on one side to all others; if both is set, it also cuts the links in the
+// opposite direction.
 func (r *simulation) setPartition(elapsed float64, side func(*simulation, int) bool, both bool) {
 	cut := inFaultWindow(elapsed)
 	if cut == r.partitioned {
