--- a/pkg/experiment/coldstart/coldstart.go
+++ b/pkg/experiment/coldstart/coldstart.go
@@ -29,8 +29,7 @@
 	maxLearnDelay = time.Second
 	// maxSides is the largest number of sides of a partition of the fleet.
 	maxSides = 3
-	// restartOneIn is n where, in one of n histories, all instances restart at a random time and
-	// lose their state.
+	// In one of restartOneIn histories, all instances restart at a random time and lose their state.
 	restartOneIn = 4
 )
 
@@ -110,7 +109,8 @@
 	namesBySide map[int][]string
 }
 
-// newLimiter returns the limiter of instance n after a start; it knows the names on its side.
+// newLimiter returns the limiter of instance n after a start. The limiter knows the names of the
+// instances on its side of the partition.
 func (w *simulation) newLimiter(n int) limiter {
 	return w.policy.newLimiter(instanceName(n), func() []string { return w.namesBySide[w.sideOf[n]] }, func() time.Time { return w.now })
 }
