--- a/pkg/capacity/model.go
+++ b/pkg/capacity/model.go
@@ -72,8 +72,8 @@
 	Fleets FleetCosts
 }
 
-// perInstance returns the share of one instance in a total of the target fleet. It is the same at
-// all fleet sizes, since the load is taken as proportional to the fleet.
+// perInstance returns one instance's share of a total of the target fleet. The share is the same at
+// all fleet sizes, because the model assumes a load proportional to the fleet size.
 func perInstance(total float64) float64 { return total / targetInstances }
 
 // callPercent returns the processor time, in percent of a core, of a number of calls a second, each
@@ -177,7 +177,7 @@
 // at this rate.
 func (m Model) claimWriter(n float64) Cost {
 	rate := perInstance(requestsPerSecond) * keyedShare
-	const kept = 1000 // claims in a shard; the page says how many a day would make
+	const kept = 1000 // claims in a shard; docs/CAPACITY.md states how many the claims of a day would be
 	return Cost{
 		Role: "claim writer", Mechanism: "`claim.Claimer`; group commit within a node",
 		StoreByteRate:    rate * 2 * 2 * m.Micro.ClaimBytes.At(kept),
--- a/pkg/capacity/page.go
+++ b/pkg/capacity/page.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Marks around the part of the page that is rewritten.
+// Marks around the part of the page that RewritePage replaces.
 const (
 	markBegin = "<!-- measured: begin -->"
 	markEnd   = "<!-- measured: end -->"
