--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -40,8 +40,8 @@
 	Slots int
 	// TokenMillis is the time for one token, in milliseconds. Default 10.
 	TokenMillis int
-	// CrashMarker ends the whole process when the body of a request contains it, as a fault of the
-	// engine would. Empty for none.
+	// CrashMarker ends the whole process when the body of a request contains it, as a crash of the
+	// engine would; empty for no crashes.
 	CrashMarker string
 }
 
