--- a/pkg/standin/plain/plain.go
+++ b/pkg/standin/plain/plain.go
@@ -56,7 +56,7 @@
 const crashExitCode = 3
 
 // Start serves on an address. A request whose body contains crashMarker ends the whole process, as a
-// fault of the service would; an empty crashMarker ends none.
+// crash of the service would; with an empty crashMarker, no request does.
 func Start(address, crashMarker string) (*Server, error) {
 	http, err := httpserve.Listen(httpserve.Options{Address: address, MaxBodyBytes: maxBodyBytes})
 	if err != nil {
