--- a/pkg/standin/relay/relay.go
+++ b/pkg/standin/relay/relay.go
@@ -169,7 +169,7 @@
 	r.SetFaults(Faults{Cut: true})
 }
 
-// closeLink closes a link and forgets it.
+// closeLink closes a link and removes it from the open links.
 func (r *Relay) closeLink(l *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
