--- a/cmd/lavenderring/main.go
+++ b/cmd/lavenderring/main.go
@@ -206,7 +206,7 @@
 // settings file has changed, it only checks the file: the settings say where the
 // process runs and listens, which cannot change while it runs.
 func route(ctx context.Context, path string) error {
-	// Before anything else, because a SIGHUP without a handler ends the process.
+	// The handler is set before anything else, because a SIGHUP without one ends the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	s, err := settings.LoadRouter(path)
