--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,6 +1,6 @@
 // Command soak runs the instance's program as separate processes on this machine, injects
-// seeded faults and checks the guarantees (see package soak). It exits with status 1 if one
-// was violated or a run did not start.
+// seeded faults and checks the guarantees (see package soak). It exits with status 1 if a
+// guarantee was violated or a run did not start.
 package main
 
 import (
