--- a/pkg/capacity/model.go
+++ b/pkg/capacity/model.go
@@ -177,7 +177,7 @@
 // at this rate.
 func (m Model) claimWriter(n float64) Cost {
 	rate := perInstance(requestsPerSecond) * keyedShare
-	const kept = 1000 // claims in a shard; docs/CAPACITY.md states how many the claims of a day would be
+	const kept = 1000 // claims in a shard; docs/CAPACITY.md states the number if claims are kept for a day
 	return Cost{
 		Role: "claim writer", Mechanism: "`claim.Claimer`; group commit within a node",
 		StoreByteRate:    rate * 2 * 2 * m.Micro.ClaimBytes.At(kept),
