--- a/pkg/experiment/blame/request.go
+++ b/pkg/experiment/blame/request.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// judgeCrash has the instance of an attempt record the crash of its upstream, and goes on once the
-// crash has been judged.
+// judgeCrash makes the instance that sent an attempt record the crash of the attempt's upstream. Once
+// the instance has judged the crash, the attempt fails.
 func (w *simulation) judgeCrash(a *attempt, upstream string) {
 	table := w.tables[a.instance]
 	if table == nil {
@@ -139,7 +139,8 @@
 	})
 }
 
-// attemptFailed tries another upstream or has the client retry, after an attempt without an answer.
+// attemptFailed handles an attempt without an answer: the instance sends the request to another
+// upstream or, if it has no attempts left, the client retries.
 func (w *simulation) attemptFailed(a *attempt) {
 	if a.attemptsLeft > 0 {
 		w.sendToUpstream(a.request, a.instance, a.attemptsLeft)
@@ -148,7 +149,8 @@
 	w.retry(a.request)
 }
 
-// requestRefused has the client retry a request that its instance refused, unless it is condemned.
+// requestRefused makes the client retry a request that an instance refused, unless the request is
+// condemned.
 func (w *simulation) requestRefused(r *request, err error) {
 	if errors.Is(err, quarantine.ErrCondemned) {
 		r.triesLeft = 0 // the answer tells the client not to retry
@@ -156,7 +158,8 @@
 	w.retry(r)
 }
 
-// retry has the client send a request again after a pause, if it has tries left.
+// retry makes the client send a request again after a pause. A harmless request without tries left
+// counts as failed.
 func (w *simulation) retry(r *request) {
 	if r.triesLeft > 0 {
 		w.after(minRetryPause+w.drawBelow(minRetryPause), func() { w.send(r) })
--- a/pkg/experiment/blame/scenario.go
+++ b/pkg/experiment/blame/scenario.go
@@ -38,7 +38,7 @@
 	{Name: "two fatal ones in a release", CrashingBodies: 2, CrashingPerSecond: 5, OtherCrashes: crashInTurn(time.Second)},
 }
 
-// firstCrashAt is when the first crash happens that no crashing request causes.
+// firstCrashAt is the virtual time of the first crash that is not caused by a crashing request.
 const firstCrashAt = 5 * time.Second
 
 // crashDomains crashes a quarter of the upstreams at once, three times.
