--- a/pkg/budget/fleetfake/calls.go
+++ b/pkg/budget/fleetfake/calls.go
@@ -146,7 +146,7 @@
 }
 
 // Witness implements budget.Fleet: the next instance in another failure domain
-// that does not count as silent.
+// that does not count as silent and is not the incarnation except.
 func (v fleetView) Witness(except string) string {
 	f := v.instance.fleet
 	for i := 1; i < len(f.Instances); i++ {
