--- a/pkg/soak/crashing.go
+++ b/pkg/soak/crashing.go
@@ -25,7 +25,8 @@
 	// upstreamDowntime is how long a crashed upstream is down.
 	upstreamDowntime = 700 * time.Millisecond
 	// numCondemningCrashes is the number of crashes after which a request is condemned, and
-	// maxLateCrashes how many more may come later than faultEffectDuration after them.
+	// maxLateCrashes how many further crashes it may cause later than faultEffectDuration after
+	// the last of these.
 	numCondemningCrashes, maxLateCrashes = 3, 3
 	// crashRecordDelay is how long after a crash it may be recorded: clients may notice it before.
 	crashRecordDelay = 100 * time.Millisecond
@@ -40,8 +41,8 @@
 	crashes []time.Time
 }
 
-// newCrashingRequests draws the crashing requests of a run from a random sequence of their own, so that the other faults of a
-// seed stay the same.
+// newCrashingRequests draws the crashing requests of a run from a random sequence of their own, so that
+// the other faults of a seed stay the same.
 func newCrashingRequests(seed uint64) []*crashingRequest {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	if rng.IntN(crashingDivisor) != 0 {
@@ -85,7 +86,7 @@
 	r.fleet.closeRelay(u)
 	time.Sleep(upstreamDowntime)
 	if err := r.fleet.restartUpstream(u); err != nil {
-		r.reportViolation("an upstream did not start again: %v", err)
+		r.reportViolation("upstream %s did not start again: %v", u.ID, err)
 	}
 }
 
--- a/pkg/soak/emptied.go
+++ b/pkg/soak/emptied.go
@@ -16,7 +16,7 @@
 	// minEmptyDuration and maxEmptyDuration bound how long a domain is emptied.
 	minEmptyDuration, maxEmptyDuration = 3 * time.Second, 6 * time.Second
 	// coldDuration is how long the upstreams of a restored domain are cold, coldPerSecond how many
-	// requests each of them takes in a second meanwhile.
+	// requests each of them survives in any second meanwhile.
 	coldDuration  = 2 * time.Second
 	coldPerSecond = 12
 )
@@ -27,8 +27,8 @@
 	domain          string
 }
 
-// newEmptyings draws the emptyings of a run from a random sequence of their own, so that the other faults of a seed stay
-// the same.
+// newEmptyings draws the emptyings of a run from a random sequence of their own, so that the other
+// faults of a seed stay the same.
 func newEmptyings(seed uint64, length time.Duration) []emptying {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	if rng.IntN(emptyingDivisor) != 0 {
@@ -84,7 +84,7 @@
 	return r.activeEmptyings[domain]
 }
 
-// numRunsAt returns the number of runs at some upstreams.
+// numRunsAt returns the total number of runs at the given upstreams.
 func numRunsAt(upstreams []*upstream) int {
 	runs := 0
 	for _, u := range upstreams {
@@ -93,7 +93,7 @@
 	return runs
 }
 
-// checkCold checks that no cold upstream got more requests than it takes.
+// checkCold checks that no cold upstream got more requests than it survives.
 func (r *runner) checkCold() {
 	for _, u := range r.fleet.allUpstreams() {
 		if overruns := u.ColdOverruns(); overruns > 0 {
--- a/pkg/soak/inject.go
+++ b/pkg/soak/inject.go
@@ -20,8 +20,8 @@
 	// how many of the store's next writes are. lateWriteMillis is the delay of late writes.
 	numFaultyAnswers, numFaultyWrites = 12, 4
 	lateWriteMillis                   = 900
-	// drainDuration is how long an upstream serves after it was announced as leaving; after
-	// that, no new request may reach it.
+	// drainDuration is how long an upstream serves after it was announced as leaving or its
+	// domain was emptied; after that, no new request may reach it.
 	drainDuration = 2500 * time.Millisecond
 	// lingerDuration is how long a leaving upstream runs after its entry was withdrawn.
 	lingerDuration = time.Second
--- a/pkg/soak/soak.go
+++ b/pkg/soak/soak.go
@@ -7,8 +7,8 @@
 //
 // Faults are injected by signals and by relays on loopback addresses. The processes have no
 // storage. Their clocks cannot be stepped from outside, but a paused process sees its clock
-// jump. Instances reach each other directly.
-// Network partitions between them are tested elsewhere.
+// jump. Instances reach each other directly: network partitions between them are tested
+// elsewhere.
 package soak
 
 import (
