--- a/test/client_test.go
+++ b/test/client_test.go
@@ -36,7 +36,7 @@
 	return callWithTimeout(waitTimeout, address, key, method, path, idempotencyKey, body)
 }
 
-// callWithTimeout is call by a client that closes its connection after a timeout.
+// callWithTimeout sends a request as call does, and closes the connection after a timeout.
 func callWithTimeout(timeout time.Duration, address, key, method, path, idempotencyKey string, body []byte) answer {
 	return callWithID(timeout, address, key, method, path, idempotencyKey, "", body)
 }
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -65,7 +65,7 @@
 		return err == nil && strings.Contains(text, "prepaid_tokens") && strings.Contains(text, "max_output_tokens")
 	})
 	if a := askModel(f.instances[0].address, crewKey, true, 5, samplePrompt); !a.whole {
-		t.Errorf("got %d %s", a.status, a.body)
+		t.Errorf("a request under the accepted document got %d %s", a.status, a.body)
 	}
 	if status, _ := f.status(f.instances[0]); status.Generations[service] != 1 {
 		t.Errorf("generations in force are %v, expected generation 1", status.Generations)
@@ -112,7 +112,7 @@
 	for n := range 6 {
 		go func() { running <- askModel(f.instances[n%3].address, crewKey, true, 200, samplePrompt) }()
 	}
-	f.await("running streams", func() bool { return len(f.engineUsage()) == 6 })
+	f.await("all streams to run", func() bool { return len(f.engineUsage()) == 6 })
 	f.doc.Pools[0].Upstreams[0].State = document.StateLeaving
 	f.apply(f.doc)
 	f.awaitGeneration(2)
@@ -140,7 +140,7 @@
 
 // All instances are replaced one after the other under load. Clients send a
 // request to another instance when one refuses it or is gone, as a load balancer
-// does. No request is lost, and bills, ledger and upstreams agree afterwards.
+// does. No job is lost or runs twice, and bills, ledger and upstreams agree afterwards.
 func TestRollingRestartLosesNothing(t *testing.T) {
 	const prepaid = 10_000_000
 	f := newFleet(t, options{instances: 3, engines: 2, services: 2, prepaid: prepaid, tokenMillis: 1})
@@ -183,7 +183,7 @@
 		mu.Unlock()
 		old.signal(syscall.SIGTERM)
 		if err := old.cmd.Wait(); err != nil {
-			t.Errorf("instance %d: %v", n, err)
+			t.Errorf("the stopped instance %d ended with %v", n, err)
 		}
 	}
 	close(stop)
@@ -206,8 +206,8 @@
 }
 
 // sendWithFailover sends a request as a load balancer does: to the next instance
-// when one is stopping, or is gone before it accepted the request. It reports
-// whether a whole answer came.
+// when one refuses it as not run or its connection fails. It reports whether a whole
+// answer came.
 func sendWithFailover(pick func(int) *process, n int, send func(*process) answer) bool {
 	for try := range 6 {
 		a := send(pick(n + try))
--- a/test/domain_test.go
+++ b/test/domain_test.go
@@ -75,6 +75,6 @@
 	start := time.Now()
 	a := call(f.instances[0].address, crewKey, http.MethodPost, "/services/jobs/x", "", []byte("x"))
 	if a.status != http.StatusServiceUnavailable || a.problem.Outcome != string(outcome.NotRun) || time.Since(start) > time.Second {
-		t.Errorf("got %d %s after %v", a.status, a.body, time.Since(start))
+		t.Errorf("a request with all domains emptied got %d %s after %v", a.status, a.body, time.Since(start))
 	}
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -305,7 +305,7 @@
 
 func (f *fleet) awaitReady(p *process) {
 	f.t.Helper()
-	f.await("ready", func() bool {
+	f.await("the instance at "+p.control+" to be ready", func() bool {
 		resp, err := http.Get("http://" + p.control + "/readyz")
 		if err != nil {
 			return false
@@ -326,7 +326,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("GET %s at %s: status %d", path, p.control, resp.StatusCode)
 	}
 	return json.NewDecoder(resp.Body).Decode(into)
 }
--- a/test/input_test.go
+++ b/test/input_test.go
@@ -45,7 +45,7 @@
 				t.Fatalf("the connection was still open after %v", waitTimeout)
 			}
 			if c.status != "" && line != "" && !strings.HasPrefix(line, "HTTP/1.1 "+c.status) {
-				t.Errorf("got %q", line)
+				t.Errorf("got %q, expected status %s", line, c.status)
 			}
 			if c.status != "" && line == "" {
 				t.Errorf("the connection was closed without an answer: %v", err)
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -42,11 +42,11 @@
 func TestKeyOfAnotherRequestIsRefused(t *testing.T) {
 	f := newFleet(t, options{instances: 2, services: 1, prepaid: 10_000})
 	if a := assign(f.instances[0].address, "job-1", "leak-1"); !a.whole {
-		t.Fatalf("got %d %s", a.status, a.body)
+		t.Fatalf("the first job got %d %s", a.status, a.body)
 	}
 	a := assign(f.instances[1].address, "job-1", "leak-2")
 	if a.status != http.StatusUnprocessableEntity || !a.refusedNotRun() {
-		t.Errorf("got %d %s", a.status, a.body)
+		t.Errorf("another job with the same key got %d %s", a.status, a.body)
 	}
 	if f.runsOf("leak-2") != 0 {
 		t.Error("the other job ran")
@@ -62,12 +62,12 @@
 	f.post(f.services[0].control, "/_faults", plain.Faults{DelayMillis: 2000})
 	first := make(chan answer, 1)
 	go func() { first <- assign(f.instances[0].address, "job-1", "leak-17") }()
-	f.await("the run", func() bool { return f.runsOf("leak-17") == 1 })
+	f.await("the request to run at an upstream", func() bool { return f.runsOf("leak-17") == 1 })
 	f.instances[0].kill()
 	<-first
 	a := assign(f.instances[1].address, "job-1", "leak-17")
 	if a.problem.Outcome != "unknown" || a.problem.Title != "outcome-unknown" {
-		t.Errorf("got %d %s", a.status, a.body)
+		t.Errorf("the retry got %d %s", a.status, a.body)
 	}
 	if runs := f.runsOf("leak-17"); runs != 1 {
 		t.Errorf("the job ran %d times", runs)
@@ -75,8 +75,8 @@
 }
 
 // An instance is killed at each step of a non-idempotent request. The retry at
-// another instance never runs the request a second time, and the outcome that it
-// reports is true: ran, not run or unknown.
+// another instance never runs the request a second time, and its answer states the
+// true outcome: ran, not run or unknown.
 func TestDeathAtEachStepOfABooking(t *testing.T) {
 	for _, step := range []struct {
 		description string
@@ -140,7 +140,7 @@
 	f.post(f.services[0].control, "/_faults", plain.Faults{DelayMillis: 1000})
 	first := make(chan answer, 1)
 	go func() { first <- assign(f.instances[0].address, "job-1", "leak-17") }()
-	f.await("the run", func() bool { return f.runsOf("leak-17") == 1 })
+	f.await("the request to run at an upstream", func() bool { return f.runsOf("leak-17") == 1 })
 	f.instances[0].signal(syscall.SIGSTOP)
 	if a := assign(f.instances[1].address, "job-1", "leak-17"); a.problem.Outcome != "unknown" {
 		t.Errorf("a retry while the instance is paused got %d %s", a.status, a.body)
@@ -173,10 +173,10 @@
 			}
 			a := call(f.instances[0].address, crewKey, method, "/services/jobs/assign", "job-1", []byte(`{"job":"x"}`))
 			if a.problem.Outcome != "unknown" {
-				t.Errorf("got %d %s", a.status, a.body)
+				t.Errorf("the job got %d %s, expected outcome unknown", a.status, a.body)
 			}
 			if runs := f.runsOf("x"); runs != 1 {
-				t.Errorf("ran %d times", runs)
+				t.Errorf("the job ran %d times", runs)
 			}
 		})
 	}
@@ -188,12 +188,12 @@
 func TestStoreOutageRefusesTrulyUnrun(t *testing.T) {
 	f := newFleet(t, options{instances: 2, engines: 1, services: 1, prepaid: 1_000_000})
 	if a := askModel(f.instances[0].address, crewKey, false, 5, "warm up"); !a.whole {
-		t.Fatalf("got %d %s", a.status, a.body)
+		t.Fatalf("a model request before the outage got %d %s", a.status, a.body)
 	}
 	f.post(f.platform.address, "/faults", standin.Faults{Outage: true})
 	a := assign(f.instances[0].address, "job-1", "leak-17")
 	if !a.refusedNotRun() || a.header.Get("Retry-After") == "" {
-		t.Errorf("got %d %s", a.status, a.body)
+		t.Errorf("a job during the outage got %d %s with Retry-After %q", a.status, a.body, a.header.Get("Retry-After"))
 	}
 	if runs := f.runsOf("leak-17"); runs != 0 {
 		t.Errorf("the refused job ran %d times", runs)
@@ -242,7 +242,7 @@
 		job := "leak-" + strings.Repeat("i", n+1)
 		a := assign(f.instances[0].address, job, job)
 		if !a.whole && !a.refusedNotRun() {
-			t.Errorf("got %d %s", a.status, a.body)
+			t.Errorf("%s got %d %s", job, a.status, a.body)
 		}
 		if ran := f.runsOf(job) == 1; ran != a.whole {
 			t.Errorf("%s: answered whole is %v, ran is %v", job, a.whole, ran)
@@ -251,6 +251,6 @@
 	f.services[0].kill()
 	a := assign(f.instances[0].address, "last", "last")
 	if !a.refusedNotRun() {
-		t.Errorf("got %d %s", a.status, a.body)
+		t.Errorf("with no upstream left, the job got %d %s", a.status, a.body)
 	}
 }
--- a/test/path_bench_test.go
+++ b/test/path_bench_test.go
@@ -19,7 +19,7 @@
 		before := time.Now()
 		a := askWithID(address, fmt.Sprintf("bench-%d-%d", time.Now().UnixNano(), n))
 		if !a.whole {
-			b.Fatalf("got %d %s %v", a.status, a.body, a.err)
+			b.Fatalf("a request to %s got %d %s %v", address, a.status, a.body, a.err)
 		}
 		_ = histogram.RecordValue(time.Since(before).Microseconds())
 	}
@@ -40,7 +40,7 @@
 	f := newFleet(b, options{instances: 3, engines: 1, prepaid: 1 << 40, tokenMillis: 1})
 	for _, p := range f.instances {
 		if a := askModel(p.address, crewKey, false, maxBenchTokens, samplePrompt); !a.whole {
-			b.Fatalf("got %d %s", a.status, a.body)
+			b.Fatalf("the warm-up request got %d %s", a.status, a.body)
 		}
 	}
 	b.Run("direct", func(b *testing.B) { measureLatency(b, f.engines[0].address) })
--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -238,8 +238,8 @@
 	})
 }
 
-// Guards against a condemned request that crashes upstreams again after all instances were lost, with
-// what they held in memory, or after a store rollback to a copy older than the verdict.
+// Guards against a condemned request that crashes upstreams again after a store rollback to a copy older
+// than the verdict, followed by the loss of all instances with what they held in memory.
 func TestCondemnedRequestStaysSoAfterALossOfAll(t *testing.T) {
 	f := newRoutedFleet(t, 3, 1_000_000)
 	crashed := f.injectCrashes()
@@ -256,7 +256,7 @@
 		i.process = f.startProcess(i)
 	}
 	for _, i := range f.instances {
-		f.await("ready", func() bool { return i.isReady() })
+		f.await("the instance to be ready", func() bool { return i.isReady() })
 	}
 	// An instance applies the verdict once it has been in contact with others for some seconds.
 	f.await("the verdict at every instance", func() bool {
@@ -271,7 +271,7 @@
 		f.send(f.instances[n%3], fmt.Sprintf("again-%d", n), "safe", crashingBody)
 	}
 	if after := crashed.count(crashingBody); after != before {
-		t.Errorf("%d upstreams crashed before the restart, %d after it", before, after)
+		t.Errorf("%d upstreams crashed before the restart, %d in total after it", before, after)
 	}
 }
 
@@ -285,12 +285,12 @@
 	i := f.instances[0]
 	i.kill()
 	i.process = f.startProcess(i)
-	f.await("ready", func() bool { return i.isReady() })
+	f.await("the instance to be ready", func() bool { return i.isReady() })
 	for n := range 5 {
 		f.send(i, fmt.Sprintf("again-%d", n), "once", crashingBody)
 	}
 	if after := crashed.count(crashingBody); after != before {
-		t.Errorf("%d upstreams crashed before the restart, %d after it", before, after)
+		t.Errorf("%d upstreams crashed before the restart, %d in total after it", before, after)
 	}
 }
 
@@ -306,7 +306,7 @@
 		beside.Wait()
 	}
 	for n, i := range f.instances {
-		f.await("served", func() bool {
+		f.await("the request to be served", func() bool {
 			return f.send(i, fmt.Sprintf("after-%d-%d", n, time.Now().UnixNano()), "safe", "beside").status == http.StatusOK
 		})
 	}
--- a/test/recovery_test.go
+++ b/test/recovery_test.go
@@ -123,7 +123,7 @@
 	f := newFleet(t, options{instances: 3, services: 1, prepaid: 10_000})
 	time.Sleep(time.Second)
 	if a := assign(f.instances[0].address, "job-1", "leak-17"); !a.whole {
-		t.Fatalf("got %d %s", a.status, a.body)
+		t.Fatalf("the job before the store rollback got %d %s", a.status, a.body)
 	}
 	time.Sleep(300 * time.Millisecond) // until the outcome is recorded
 	f.post(f.platform.address, "/go-back", standin.Rollback{OutageMillis: 200, CopyAgeMillis: 900})
--- a/test/route_harness_test.go
+++ b/test/route_harness_test.go
@@ -17,7 +17,7 @@
 	"github.com/lavenderring/lavenderring/platform/standin"
 )
 
-// routedFleet is a fleet on the users' platform: the stand-ins of the store and of the
+// routedFleet is a fleet on the users' platform: stand-ins for the store and for the
 // upstreams, and instances that run package router ("lavenderring route") as separate
 // processes.
 type routedFleet struct {
@@ -68,7 +68,7 @@
 		f.instances = append(f.instances, f.startInstance(n))
 	}
 	for _, i := range f.instances {
-		f.await("ready", func() bool { return i.isReady() })
+		f.await("the instance to be ready", func() bool { return i.isReady() })
 	}
 	return f
 }
--- a/test/route_test.go
+++ b/test/route_test.go
@@ -25,7 +25,7 @@
 }
 
 // A request of each kind passes through an instance to an upstream and its answer
-// back: target and body unchanged, the system's own headers set, and the API key not
+// back: target and body unchanged, the headers of Lavenderring set, and the API key not
 // forwarded.
 func TestEachKindIsServedWhole(t *testing.T) {
 	f := newRoutedFleet(t, 2, 1_000_000)
@@ -76,7 +76,7 @@
 			id := fmt.Sprintf("case-%d", n)
 			a := f.send(f.instances[0], id, c.route, "x")
 			if runs := f.runsOf(id); a.status != c.status || len(runs) != c.runs {
-				t.Errorf("got %d, %d runs", a.status, len(runs))
+				t.Errorf("got status %d and %d runs, expected %d and %d", a.status, len(runs), c.status, c.runs)
 			}
 			if a.status == http.StatusServiceUnavailable && a.retryAfter == "" {
 				t.Error("the refusal has no Retry-After")
@@ -240,7 +240,8 @@
 }
 
 // The store is unavailable. An instance that starts meanwhile gets the configuration
-// and the upstreams from another instance, and serves.
+// and the upstreams from another instance, becomes ready and answers; it may refuse a
+// non-idempotent request with 503.
 func TestInstanceStartsWhileTheStoreIsAway(t *testing.T) {
 	f := newRoutedFleet(t, 2, 1_000_000)
 	f.send(f.instances[0], "before", "safe", "x")
@@ -249,9 +250,9 @@
 	text := fmt.Sprintf("seeds = [%q]\n", f.instances[0].peerAddress)
 	f.appendSettings(f.instances[1], text)
 	f.instances[1].process = f.startProcess(f.instances[1])
-	f.await("ready", func() bool { return f.instances[1].isReady() })
+	f.await("the instance to be ready", func() bool { return f.instances[1].isReady() })
 	if a := f.send(f.instances[1], "during", "once", "x"); a.status != http.StatusOK && a.status != http.StatusServiceUnavailable {
-		t.Errorf("got %d %s", a.status, a.body)
+		t.Errorf("the instance that started in the outage answered %d %s", a.status, a.body)
 	}
 }
 
@@ -265,7 +266,7 @@
 	f.appendSettings(f.instances[1], fmt.Sprintf("seeds = [%q]\n", f.instances[0].peerAddress))
 	before := f.store.Stats().Reads
 	f.instances[1].process = f.startProcess(f.instances[1])
-	f.await("ready", func() bool { return f.instances[1].isReady() })
+	f.await("the instance to be ready", func() bool { return f.instances[1].isReady() })
 	if reads := f.store.Stats().Reads - before; reads > 1 {
 		t.Errorf("one start made %d reads of the store", reads)
 	}
@@ -478,7 +479,7 @@
 		i.process = f.startProcess(i)
 	}
 	for _, i := range f.instances {
-		f.await("ready", func() bool { return i.isReady() })
+		f.await("the instance to be ready", func() bool { return i.isReady() })
 	}
 	send("started ")
 	if after := numRunsIn(0); after != before {
--- a/test/signal_test.go
+++ b/test/signal_test.go
@@ -27,5 +27,5 @@
 	f.must(pipe.Close())
 	f.must(os.Remove(i.settingsPath))
 	f.must(os.Rename(settingsPath, i.settingsPath)) // a reload reads the file again
-	f.await("ready", func() bool { return i.isReady() })
+	f.await("the instance to be ready", func() bool { return i.isReady() })
 }
--- a/test/stream_test.go
+++ b/test/stream_test.go
@@ -51,8 +51,8 @@
 }
 
 // An engine answers with the id of another request, as if two answers had been
-// swapped. The client must not see a token of it; the request is idempotent, so
-// another engine is tried.
+// swapped. The client must not get a token of the other answer; the request is
+// idempotent, so the instance tries another engine.
 func TestCrossedAnswerNeverReachesTheCaller(t *testing.T) {
 	f := newFleet(t, options{instances: 1, engines: 2, prepaid: 10_000_000, tokenMillis: 1})
 	for range 12 { // earn retry budget
@@ -80,11 +80,11 @@
 	})
 	got := make(chan answer, 1)
 	go func() { got <- askModel(f.instances[0].address, crewKey, true, 100, samplePrompt) }()
-	f.await("the run", func() bool { return len(f.activeRequests()) > 0 })
+	f.await("the request to run at an upstream", func() bool { return len(f.activeRequests()) > 0 })
 	f.post(f.engines[0].control, "/faults", relay.Faults{Freeze: true})
 	a := <-got
 	if !a.whole {
-		t.Errorf("got %d %s", a.status, a.body)
+		t.Errorf("the resumed stream ended with %d %s", a.status, a.body)
 	}
 	if n := strings.Count(a.body, "id: "); n < 50 {
 		t.Errorf("only %d tokens came, expected at least 50", n)
