--- a/pkg/soak/crashing.go
+++ b/pkg/soak/crashing.go
@@ -15,16 +15,18 @@
 
 // Parameters of requests that crash the upstreams that run them.
 const (
-	// One of crashingDivisor runs has such requests, at most maxCrashingRequests.
+	// One of crashingDivisor runs has crashing requests, at most maxCrashingRequests.
 	crashingDivisor, maxCrashingRequests = 3, 3
-	// crashMarker is contained in their bodies.
+	// crashMarker is contained in the body of every crashing request.
 	crashMarker = "ends what runs it"
-	// minCrashingInterval and maxCrashingInterval bound the pause between two sends of one of them.
+	// minCrashingInterval and maxCrashingInterval bound the pause between two sends of one
+	// crashing request.
 	minCrashingInterval, maxCrashingInterval = 50 * time.Millisecond, 400 * time.Millisecond
 	// upstreamDowntime is how long a crashed upstream is down.
 	upstreamDowntime = 700 * time.Millisecond
 	// numCondemningCrashes is the number of crashes after which a request is condemned, and
-	// maxLateCrashes how many more may come later than faultEffectDuration after them.
+	// maxLateCrashes how many further crashes it may cause later than faultEffectDuration after
+	// the last of these.
 	numCondemningCrashes, maxLateCrashes = 3, 3
 	// crashRecordDelay is how long after a crash it may be recorded: clients may notice it before.
 	crashRecordDelay = 100 * time.Millisecond
@@ -39,8 +41,8 @@
 	crashes []time.Time
 }
 
-// newCrashingRequests draws them from a random sequence of their own, so that the other faults of a
-// seed stay the same.
+// newCrashingRequests draws the crashing requests of a run from a random sequence of their own, so that
+// the other faults of a seed stay the same.
 func newCrashingRequests(seed uint64) []*crashingRequest {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	if rng.IntN(crashingDivisor) != 0 {
@@ -84,12 +86,12 @@
 	r.fleet.closeRelay(u)
 	time.Sleep(upstreamDowntime)
 	if err := r.fleet.restartUpstream(u); err != nil {
-		r.reportViolation("an upstream did not start again: %v", err)
+		r.reportViolation("upstream %s did not start again: %v", u.ID, err)
 	}
 }
 
-// crashBetween reports whether an upstream crashed in a period: whatever ran there is cut off, and its
-// instance cannot prevent that.
+// crashBetween reports whether an upstream crashed in a period: the requests that ran there are cut
+// off, and their instances cannot prevent that.
 func (r *runner) crashBetween(from, to time.Time) bool {
 	for _, f := range r.crashing {
 		f.mu.Lock()
